--- a/carawayfold/coordination/scheduling/__init__.py
+++ b/carawayfold/coordination/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Which request goes to which endpoint of a service, and which is turned away."""
+"""Scheduling of requests to the endpoints of a service, and their rejection."""
--- a/carawayfold/coordination/scheduling/backlog.py
+++ b/carawayfold/coordination/scheduling/backlog.py
@@ -1,4 +1,4 @@
-"""Load of an endpoint during a round of decisions."""
+"""Load of an endpoint during one round of scheduling decisions."""
 
 from __future__ import annotations
 
@@ -10,33 +10,51 @@
     from carawayfold.coordination.scheduling.endpoint_load import EndpointLoad
     from carawayfold.state.ids import DataCentreId, EndpointId
 
-#: Recent part of failed answers above which an engine is not asked for a copy.
-FAILING_MOST = 0.3
+#: Recent ratio of failed answers, 0 to 1, above which an engine isn't a copy source.
+MAX_SOURCE_FAILURE_RATIO = 0.3
 
 
 class Backlog(msgspec.Struct, eq=False):
-    """Load of an endpoint, with the requests that are meant for it added.
+    """Load of an endpoint, including the requests that are planned for it.
 
-    What stays the same while a round of decisions lasts is worked out once: with
-    hundreds of requests waiting, each round weighs each endpoint for dozens of them.
+    Values that are constant during a round are computed once: with hundreds of
+    requests waiting, a round evaluates each endpoint for dozens of them.
 
     Attributes
     ----------
+    load : EndpointLoad
+        State of the endpoint.
+    id : EndpointId
+        The endpoint.
+    data_centre : DataCentreId
+        Its data centre.
+    speed : float
+        Prefill rate in tokens per second.
+    first_token : float
+        Seconds to the first token without any prefill.
+    residence : float
+        Seconds that a request stays, on average.
     slots : float
         Requests that may run at once.
-    failure : float
-        Recent part of its answers that failed.
-    excess : float
-        The same beyond the pool's mean, since some kinds of request fail by
-        themselves, wherever they run.
-    resting : bool
-        Whether it fell silent and may not be used yet.
-    may_donate : bool
-        Whether others may copy from it what it keeps.
-    spacing : float
-        Seconds between two requests that it may get; 0 unless it warms up.
-    opens_in : float
-        Seconds until it may get the next one.
+    failure_ratio : float
+        Recent ratio of failed answers, 0 to 1.
+    excess_failure_ratio : float
+        The failure ratio above the mean of the pool. Some requests fail at any
+        endpoint, so the absolute ratio is no measure of the endpoint.
+    suspended : bool
+        Whether it may not be used yet after it did not respond.
+    can_be_copied_from : bool
+        Whether other engines may copy its cached prefixes.
+    prefill_tokens : float
+        Tokens that wait to be prefilled.
+    running : float
+        Requests in flight.
+    memory : float
+        Tokens of memory in use.
+    grant_interval : float
+        Seconds between two grants; 0 unless it warms up.
+    available_in : float
+        Seconds until the next grant is allowed.
     """
 
     load: EndpointLoad
@@ -46,32 +64,32 @@
     first_token: float
     residence: float
     slots: float
-    failure: float
-    excess: float
-    resting: bool
-    may_donate: bool
-    unread: float
+    failure_ratio: float
+    excess_failure_ratio: float
+    suspended: bool
+    can_be_copied_from: bool
+    prefill_tokens: float
     running: float
     memory: float
-    spacing: float = 0.0
-    opens_in: float = 0.0
+    grant_interval: float = 0.0
+    available_in: float = 0.0
 
     @classmethod
     def of(cls, load: EndpointLoad, now: float, reachable: bool = True) -> Backlog:
-        """Return the backlog without any request that still waits.
+        """Return the backlog of an endpoint, without requests that are still queued.
 
         Parameters
         ----------
         load : EndpointLoad
-            The endpoint.
+            State of the endpoint.
         now : float
             Monotonic seconds.
         reachable : bool
-            Whether all routers reach it, as far as is known: one that some can't
-            connect to may be cut off from other engines too.
+            Whether no router is known to fail to connect to it. An endpoint that some
+            routers can't reach may be unreachable from other engines too.
         """
-        failing = load.failure_share(now)
-        resting = load.suspended_until > now
+        failure_ratio = load.current_failure_ratio(now)
+        suspended = load.suspended_until > now
         return cls(
             load=load,
             id=load.endpoint.id,
@@ -80,24 +98,26 @@
             first_token=load.first_tokens.first_token,
             residence=load.residence,
             slots=load.endpoint.slots,
-            failure=failing,
-            excess=0.0,
-            resting=resting,
-            may_donate=reachable and not resting and failing <= FAILING_MOST,
-            unread=load.unread,
+            failure_ratio=failure_ratio,
+            excess_failure_ratio=0.0,
+            suspended=suspended,
+            can_be_copied_from=reachable
+            and not suspended
+            and failure_ratio <= MAX_SOURCE_FAILURE_RATIO,
+            prefill_tokens=load.prefill_tokens,
             running=len(load.active),
             memory=load.memory,
         )
 
-    def add(self, unread: int, memory: int) -> None:
-        """Add a request that is meant for the endpoint."""
-        self.unread += unread
+    def add(self, prefill_tokens: int, memory: int) -> None:
+        """Add a request of so many tokens that is planned for the endpoint."""
+        self.prefill_tokens += prefill_tokens
         self.running += 1
         self.memory += memory
-        if self.spacing:
-            self.opens_in = max(0.0, self.opens_in) + self.spacing
+        if self.grant_interval:
+            self.available_in = max(0.0, self.available_in) + self.grant_interval
 
-    def warm_up(self, spacing: float, opens_in: float) -> None:
-        """Let it get one request each `spacing` seconds, from `opens_in` seconds on."""
-        self.spacing = spacing
-        self.opens_in = opens_in
+    def warm_up(self, grant_interval: float, available_in: float) -> None:
+        """Limit grants to one per `grant_interval` s, from `available_in` s on."""
+        self.grant_interval = grant_interval
+        self.available_in = available_in
--- a/carawayfold/coordination/scheduling/caches.py
+++ b/carawayfold/coordination/scheduling/caches.py
@@ -1,8 +1,8 @@
-"""Learns what engines keep in their caches when this router begins to decide for them.
+"""Reading of the engines' prefix caches when this router becomes leader of a pool.
 
-The load it answers: a router that decides is stopped or killed, and the one after it
-would send requests to engines that do not keep their prefixes, so that shared parts
-would be read once more.
+Without this, a router that replaces a stopped or failed leader would send requests to
+engines that don't have their prefixes cached, and shared parts would be prefilled
+again.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-    from carawayfold.coordination.scheduling.desk import Desk, PoolDesk
+    from carawayfold.coordination.scheduling.desk import Desk, PoolState
     from carawayfold.protocol.sources import CacheSource
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import EndpointId, PoolId
 
 logger = logbook.Logger(__name__)
 
-#: Least seconds between two questions to one engine, since answering takes time from
-#: its work; a router whose peers come and go begins to decide again and again.
-ASK_AGAIN = 3.0
+#: Minimum seconds between two queries of one engine. A query takes time from the
+#: engine's work, and a router whose peers join and leave becomes leader repeatedly.
+MIN_QUERY_INTERVAL = 3.0
 
 
 class CacheReader:
-    """Asks engines what they keep, once each time this router begins to decide.
+    """Queries the caches of engines, once each time this router becomes leader.
 
     Parameters
     ----------
     source : CacheSource
-        Where to ask.
-    desk : Desk
-        The pools, and the schedulers that learn the answers.
+        Client of the cache listings.
+    coordinator : SchedulingCoordinator
+        Pools and schedulers that receive the listings.
     spawn : callable
         Runs a coroutine as a task.
     """
@@ -52,43 +52,47 @@
         self.desk = desk
         self.spawn = spawn
         self.loop = asyncio.get_running_loop()
-        #: Engines of each pool this router decides for, asked since it began to.
-        self.asked: dict[PoolId, set[EndpointId]] = {}
-        self.asked_at: dict[EndpointId, float] = {}
+        #: Engines of each pool this router leads that were queried since it became
+        #: leader.
+        self.queried: dict[PoolId, set[EndpointId]] = {}
+        self.queried_at: dict[EndpointId, float] = {}
 
     def look(self) -> None:
-        """Ask the engines that this router has begun to decide for."""
+        """Query the engines of pools that this router has become leader of."""
         pools = self.desk.pools
-        self.asked = {
-            pool: self.asked.get(pool, set())
+        self.queried = {
+            pool: self.queried.get(pool, set())
             for pool in pools
             if self.desk.decides_for(pool)
         }
-        for pool, asked in self.asked.items():
-            self._look_at(pools[pool], asked)
+        for pool, queried in self.queried.items():
+            self._query_pool(pools[pool], queried)
 
-    def _look_at(self, pool: PoolDesk, asked: set[EndpointId]) -> None:
+    def _query_pool(self, pool: PoolState, queried: set[EndpointId]) -> None:
         if not pool.scheduler.plan.memory_tokens:
             return
         now = self.loop.time()
         for endpoint, load in pool.scheduler.loads.items():
-            if endpoint in asked or self.desk.rests.lasts(endpoint, now):
+            if endpoint in queried or self.desk.rests.lasts(endpoint, now):
                 continue
-            asked.add(endpoint)
-            if now - self.asked_at.get(endpoint, -ASK_AGAIN) >= ASK_AGAIN:
-                self.asked_at[endpoint] = now
-                self.spawn(self._ask(pool, load.endpoint))
-
-    async def _ask(self, pool: PoolDesk, endpoint: Endpoint) -> None:
+            queried.add(endpoint)
+            if (
+                now - self.queried_at.get(endpoint, -MIN_QUERY_INTERVAL)
+                >= MIN_QUERY_INTERVAL
+            ):
+                self.queried_at[endpoint] = now
+                self.spawn(self._query(pool, load.endpoint))
+
+    async def _query(self, pool: PoolState, endpoint: Endpoint) -> None:
         try:
-            kept = await self.source.kept(endpoint)
+            cached = await self.source.kept(endpoint)
         except SourceError as error:
             extra = {"endpoint": endpoint.id, "reason": str(error)}
-            logger.info("cache not listed", extra=extra)
+            logger.info("cache listing failed", extra=extra)
             return
-        pool.scheduler.learn_kept(endpoint.id, kept)
-        tokens = sum(part.tokens for part in kept)
+        pool.scheduler.record_cached_prefixes(endpoint.id, cached)
+        tokens = sum(part.tokens for part in cached)
         logger.info(
             "cache listed",
-            extra={"endpoint": endpoint.id, "parts": len(kept), "tokens": tokens},
+            extra={"endpoint": endpoint.id, "parts": len(cached), "tokens": tokens},
         )
--- a/carawayfold/coordination/scheduling/desk.py
+++ b/carawayfold/coordination/scheduling/desk.py
@@ -1,10 +1,11 @@
-"""Gets each request a decision: from the pool's scheduler, or from this router.
-
-One router decides for each pool. A request is offered to it in a datagram, again and
-again until it answers. One that does not answer in time, because it is cut off,
-frozen or dead, is replaced by the next in line, and later if it is heard and so is late
-only. Where that one does not answer either the scheduler of this router decides, which
-then fills only its part of each endpoint.
+"""Coordination of scheduling: obtains a decision on each request.
+
+The leader of a pool decides for the whole fleet. A request is offered to it in a
+datagram, which is repeated until the leader answers. If the leader doesn't answer in
+time because it is partitioned, frozen or has failed, the next router in line decides.
+A leader whose heartbeats still arrive is only late and gets more time. If the next
+router doesn't answer either, the scheduler of this router decides, which then fills
+only its share of each endpoint.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 import msgspec
 
 from carawayfold.coordination.scheduling.division import (
-    Division,
+    PoolAssignment,
     choose,
     choose_further,
 )
-from carawayfold.coordination.scheduling.endpoint_load import Active
-from carawayfold.coordination.scheduling.held_back import HeldBack
+from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
+from carawayfold.coordination.scheduling.held_back import AdmissionControl
 from carawayfold.coordination.scheduling.messages import (
     decision_message,
-    granted_of,
+    grant_from_message,
     offer_message,
     offer_of,
-    turned_away_of,
+    rejection_from_message,
 )
 from carawayfold.coordination.scheduling.offers import (
     UNKNOWN_POOL,
@@ -42,21 +43,25 @@
     TurnedAway,
 )
 from carawayfold.coordination.scheduling.scheduler import (
-    UNSTATED_SPEED,
+    DEFAULT_PREFILL_RATE,
     PoolPlan,
     Scheduler,
 )
-from carawayfold.coordination.scheduling.tallies import Tallies
-from carawayfold.coordination.scheduling.tickets import Placed, PoolDesk, Ticket
+from carawayfold.coordination.scheduling.tallies import SchedulingStatistics
+from carawayfold.coordination.scheduling.tickets import (
+    PendingRequest,
+    PlacedRequest,
+    PoolState,
+)
 from carawayfold.protocol.datagrams import (
-    BegunMessage,
     EndedMessage,
+    FirstByteMessage,
     GrantMessage,
     Held,
     HoldingMessage,
     OfferMessage,
-    TurnAwayMessage,
-    WaitMessage,
+    QueuedMessage,
+    RejectMessage,
     WithdrawMessage,
 )
 from carawayfold.protocol.exchanges import Part
@@ -82,55 +87,55 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds between offers of a request to a scheduler that has not answered; a round
-#: trip between data centres takes under 3 ms, and a busy router some 10 ms more. Ever
-#: longer, so that a router which is late gets no more to do for being late.
-OFFER_WAITS = (0.025, 0.025, 0.05, 0.1, 0.2)
-#: Offers without an answer after which the next in line decides, if the router was not
-#: heard either since the first one.
-OFFERS_MOST = 3
-#: The same for one that is heard, and so is late rather than dead.
-LATE_OFFERS_MOST = len(OFFER_WAITS)
-#: Seconds between words to the scheduler that a request still waits. More often,
-#: and a queue of 300 fills the scheduler's time with words about itself; heartbeats
-#: tell sooner that the scheduler is gone.
-WAITING_AGAIN = 0.4
-#: Such words without an answer after which the next in line decides, if the router is
-#: silent, and if it is heard.
-WAITING_MOST = 1
-LATE_WAITING_MOST = 3
-#: Seconds between lists of what this router has at the endpoints.
+#: Seconds between offers of a request to a scheduler that has not answered. A round
+#: trip between data centres takes under 3 ms, and a busy router some 10 ms more. The
+#: intervals increase, so that a router that is late isn't loaded further by retries.
+OFFER_RETRY_INTERVALS = (0.025, 0.025, 0.05, 0.1, 0.2)
+#: Unanswered offers after which the next router in line decides, if no heartbeat has
+#: been received from the router since the first offer.
+MAX_UNANSWERED_OFFERS = 3
+#: The same if heartbeats were received, so that the router is late and has not failed.
+MAX_UNANSWERED_OFFERS_LATE = len(OFFER_RETRY_INTERVALS)
+#: Seconds between offers of a request that the scheduler has confirmed as queued. With
+#: shorter intervals, the refreshes of 300 queued requests take up the scheduler's
+#: time; a failed scheduler is detected sooner by its heartbeats.
+OFFER_REFRESH_INTERVAL = 0.4
+#: Unanswered offers of a queued request after which the next router in line decides:
+#: without heartbeats of the scheduler, and with them.
+MAX_UNANSWERED_REFRESHES = 1
+MAX_UNANSWERED_REFRESHES_LATE = 3
+#: Seconds between reports of this router's requests in flight.
 HOLDING_INTERVAL = 0.25
-#: Requests in one such list, so that it fits a datagram.
-HELD_IN_ONE = 20
-#: Decisions remembered for offers that come again.
-DECIDED_KEPT = 2000
-#: Seconds for which events are gathered before decisions on them.
+#: Maximum requests in one report, so that it fits a datagram.
+MAX_REQUESTS_PER_REPORT = 20
+#: Decisions remembered to answer repeated offers.
+MAX_REMEMBERED_DECISIONS = 2000
+#: Seconds for which events are collected before a round of decisions.
 DECIDE_DELAY = 0.001
-#: Seconds between two rounds of decisions on requests that wait, without an event.
+#: Seconds between two rounds of decisions while requests wait and no event occurs.
 DECIDE_INTERVAL = 0.03
-#: Seconds left for other work for each second that a round of decisions took: a router
-#: that has much to decide still takes the words of others in time.
-ROUND_PAUSE = 3.0
-#: Seconds by which a round of decisions comes late, or the next one is put off, from
-#: which routers are told to hold requests back, and for how long after it.
-LATE_ROUND = 0.03
-HURRIED_FOR = 0.5
-#: Seconds between log lines on one router that does not decide.
-UNANSWERED_LOGGED = 1.0
-#: Further pools that are asked for a request which its own one can't serve in time.
-#: Without them an organisation whose requests share a prefix gets its part of one pool
-#: only, however much the others can do.
+#: Pause after a round of decisions, as a multiple of the time that the round took, so
+#: that a router with many decisions still processes received messages in time.
+ROUND_PAUSE_FACTOR = 3.0
+#: Seconds by which a round of decisions is late, or by which the next one is deferred,
+#: from which routers are instructed to throttle; and seconds for which that lasts.
+LATE_ROUND_DELAY = 0.03
+OVERLOAD_DURATION = 0.5
+#: Minimum seconds between log lines on one router that doesn't answer.
+UNANSWERED_LOG_INTERVAL = 1.0
+#: Maximum number of other pools to which a request is offered if its own pool can't
+#: serve it in time. Without them, an organisation whose requests share a prefix would
+#: get its share of a single pool only, whatever the capacity of the others.
 FURTHER_POOLS = 1
-#: Seconds after which requests may come back to a pool that its decider doesn't have:
-#: both have learnt of the same endpoints by then.
-UNKNOWN_POOL_RETRY = 1.0
-#: Prefixes of which this router remembers where it sent them.
-PREFIXES_KEPT = 4000
+#: Retry delay in seconds of requests for a pool that its leader doesn't have. Both
+#: routers have read the same registrations by then.
+UNKNOWN_POOL_RETRY_AFTER = 1.0
+#: Prefixes for which this router remembers the last endpoint.
+MAX_REMEMBERED_PREFIXES = 4000
 
 
 class Desk:
-    """Offers this router's requests and decides on those of its pools.
+    """Offers this router's requests, and decides on requests of the pools it leads.
 
     Parameters
     ----------
@@ -139,7 +144,7 @@
     window : float
         Seconds over which an organisation's share is counted.
     basis : callable, optional
-        Returns what this router knows of the endpoints now.
+        Returns the current state of the registrations at this router.
     """
 
     def __init__(
@@ -149,32 +154,32 @@
         self.window = window
         self.basis = basis or (lambda: Basis(fleet.own.router))
         self.loop = asyncio.get_running_loop()
-        self.pools: dict[PoolId, PoolDesk] = {}
-        self.divisions: dict[ServiceId, Division] = {}
+        self.pools: dict[PoolId, PoolState] = {}
+        self.assignments: dict[ServiceId, PoolAssignment] = {}
         #: Slots of each pool, by service.
         self.weights: dict[ServiceId, dict[PoolId, int]] = {}
-        self.tickets: dict[CallId, Ticket] = {}
-        self.placed: dict[CallId, Placed] = {}
+        self.pending: dict[CallId, PendingRequest] = {}
+        self.placed: dict[CallId, PlacedRequest] = {}
         self.decided: OrderedDict[CallId, Decision] = OrderedDict()
         self.endpoints: dict[EndpointId, Endpoint] = {}
         #: Newest incarnation of each endpoint by its name.
         self.newest: dict[EndpointName, Endpoint] = {}
-        #: Data centres whose endpoints get nothing.
+        #: Evacuated data centres, whose endpoints get no requests.
         self.evacuated: frozenset[DataCentreId] = frozenset()
-        #: When this router learnt of each endpoint that it leaves.
+        #: Loop time at which this router was notified that each endpoint leaves.
         self.leaving_since: dict[EndpointName, float] = {}
-        #: Endpoints that want nothing from this router for a while.
+        #: Endpoints that asked this router for a pause.
         self.rests = Rests()
         self.sent_prefixes: OrderedDict[str, EndpointId] = OrderedDict()
-        self.numbers = 0
-        #: When it was last logged that a router does not decide.
-        self.unanswered: dict[RouterId, float] = {}
-        self.tallies = Tallies()
-        self.held_back = HeldBack()
-        #: When the next round of decisions may begin, for whichever pool.
+        self.last_call_number = 0
+        #: Loop time of the last log line on each router that doesn't answer.
+        self.unanswered_logged_at: dict[RouterId, float] = {}
+        self.tallies = SchedulingStatistics()
+        self.admission = AdmissionControl()
+        #: Loop time from which the next round of decisions may begin, for any pool.
         self.next_round = 0.0
-        #: Until when deciding counts as what takes too much of this router's time.
-        self.hurried_until = 0.0
+        #: Loop time until which this router counts as overloaded by decisions.
+        self.overloaded_until = 0.0
 
     # Pools
 
@@ -184,15 +189,15 @@
         routes: RouteTable,
         evacuated: Collection[DataCentreId] = (),
     ) -> list[Endpoint]:
-        """Divide the endpoints of each service into pools.
+        """Assign the endpoints of each service to pools.
 
-        Those of evacuated data centres stay in their pools, so that the others keep
-        theirs, and get nothing.
+        Endpoints of evacuated data centres get no requests. They still count in the
+        assignment, so that the other endpoints stay in their pools.
 
         Returns
         -------
         list of Endpoint
-            Those known before that are gone, or whose incarnation is over.
+            Endpoints that were removed or have restarted since the last call.
         """
         before = self.endpoints
         weights_before = self.weights
@@ -200,36 +205,38 @@
         self.leaving_since = dict(table.leaving_since)
         self.endpoints = {endpoint.id: endpoint for endpoint in self.newest.values()}
         self.evacuated = frozenset(evacuated)
-        pools: dict[PoolId, PoolDesk] = {}
+        pools: dict[PoolId, PoolState] = {}
         pool_of: dict[EndpointId, PoolId] = {}
         self.weights = {}
         engines = self._count_engines(routes)
         for service in routes.services:
             weights = self.weights[service] = {}
             usable = table.usable(service)
-            division = self.divisions.setdefault(service, Division())
-            for number, divided in enumerate(division.divide(usable)):
-                members = [item for item in divided if not self.is_evacuated(item)]
+            assignment = self.assignments.setdefault(service, PoolAssignment())
+            for number, assigned in enumerate(assignment.assign(usable)):
+                members = [item for item in assigned if not self.is_evacuated(item)]
                 pool = PoolId(f"{service}/{number}")
-                desk = self.pools.get(pool) or PoolDesk(pool, Scheduler(self.window))
+                pool_state = self.pools.get(pool) or PoolState(
+                    pool, Scheduler(self.window)
+                )
                 plan = self._plan(service, routes, len(members), engines)
-                desk.scheduler.set_endpoints(members, plan)
-                pools[pool] = desk
-                pool_of.update((item.id, pool) for item in divided)
+                pool_state.scheduler.set_endpoints(members, plan)
+                pools[pool] = pool_state
+                pool_of.update((item.id, pool) for item in assigned)
                 if members:
                     weights[pool] = sum(item.slots for item in members)
         self.pools = pools
-        self._note_division(weights_before)
-        self._leave_pools()
+        self._log_pool_changes(weights_before)
+        self._release_removed_pools()
         for placed in self.placed.values():
             placed.pool = pool_of.get(placed.endpoint, placed.pool)
-        for desk in pools.values():
-            self._decide_soon(desk)
+        for pool_state in pools.values():
+            self._schedule_decision(pool_state)
         self.rests.expire(self.endpoints, self.loop.time())
         return [before[name] for name in before.keys() - self.endpoints.keys()]
 
-    def _note_division(self, before: dict[ServiceId, dict[PoolId, int]]) -> None:
-        """Log services whose number of pools has changed."""
+    def _log_pool_changes(self, before: dict[ServiceId, dict[PoolId, int]]) -> None:
+        """Log the services whose number of pools has changed."""
         for service, weights in self.weights.items():
             pools_before = len(before.get(service, {}))
             if pools_before == len(weights):
@@ -244,19 +251,19 @@
             }
             logger.info("pools changed", extra=extra)
 
-    def _leave_pools(self) -> None:
-        """Let requests that wait in a pool that is no more go to another one."""
-        for ticket in list(self.tickets.values()):
-            service = ServiceId(ticket.pool.rsplit("/", 1)[0])
-            if ticket.pool in self.pools or not self.weights.get(service):
+    def _release_removed_pools(self) -> None:
+        """Reject pending requests of removed pools, so that they go to another pool."""
+        for pending in list(self.pending.values()):
+            service = ServiceId(pending.pool.rsplit("/", 1)[0])
+            if pending.pool in self.pools or not self.weights.get(service):
                 continue
-            if not ticket.answered.done():
-                # Its leader may still have the pool, and would keep a place for it.
-                self._withdraw(ticket)
-                ticket.answered.set_result(_unknown_pool(ticket.offer.call))
+            if not pending.answered.done():
+                # The leader may still have the pool and would reserve a slot for it.
+                self._withdraw(pending)
+                pending.answered.set_result(_unknown_pool_rejection(pending.offer.call))
 
     def is_over(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint has started again since."""
+        """Return whether an endpoint has restarted since this incarnation."""
         newest = self.newest.get(endpoint.name)
         return newest is not None and newest.incarnation > endpoint.incarnation
 
@@ -265,14 +272,14 @@
         return endpoint.data_centre in self.evacuated
 
     def gets_nothing(self, endpoint: Endpoint) -> bool:
-        """Return whether an endpoint leaves, or its data centre is evacuated."""
+        """Return whether an endpoint leaves or its data centre is evacuated."""
         return endpoint.leaving or self.is_evacuated(endpoint)
 
     def find_bar(self, endpoint: Endpoint, granted: Granted) -> Bar | None:
-        """Return why a request must not go where it was granted, None if it may.
+        """Return why a request must not be sent to a granted endpoint, None if it may.
 
-        The router that decides may be cut off from the store, so each router also goes
-        by what it has been told itself before it sends.
+        The router that decided may be partitioned from the store, so each router also
+        checks its own state before it sends.
         """
         if endpoint.leaving:
             return Bar.LEAVING
@@ -286,56 +293,59 @@
         return None
 
     def rests_in(self, pool: PoolId) -> dict[EndpointId, float]:
-        """Return when each endpoint of a pool opens that rests from this router."""
-        desk = self.pools.get(pool)
-        if desk is None or not self.rests.entries:
+        """Return the loop time until which each paused endpoint of a pool is paused."""
+        pool_state = self.pools.get(pool)
+        if pool_state is None or not self.rests.entries:
             return {}
         now = self.loop.time()
         opens = {
             endpoint: self.rests.opens_at(endpoint, now)
-            for endpoint in desk.scheduler.loads
+            for endpoint in pool_state.scheduler.loads
         }
         return {endpoint: at for endpoint, at in opens.items() if at}
 
     def _count_engines(self, routes: RouteTable) -> int:
-        """Return how many endpoints there are of all services of model engines."""
+        """Return the number of endpoints of all model services."""
         models = {item.id for item in routes.services.values() if item.is_model}
         return sum(item.service in models for item in self.endpoints.values())
 
     def _plan(
         self, service: ServiceId, routes: RouteTable, members: int, engines: int
     ) -> PoolPlan:
-        config = routes.services[service]
-        if not config.is_model:
-            return PoolPlan(warm_up_rate=config.warm_up_rate)
+        configured = routes.services[service]
+        if not configured.is_model:
+            return PoolPlan(warm_up_rate=configured.warm_up_rate)
         throughput = routes.throughput * members / max(1, engines)
-        speed = routes.throughput / max(1, engines) or UNSTATED_SPEED
+        speed = routes.throughput / max(1, engines) or DEFAULT_PREFILL_RATE
         return PoolPlan(
-            throughput, config.memory_tokens, speed, warm_up_rate=config.warm_up_rate
+            throughput,
+            configured.memory_tokens,
+            speed,
+            warm_up_rate=configured.warm_up_rate,
         )
 
     def decides_for(self, pool: PoolId) -> bool:
-        """Return whether this router decides for a pool."""
+        """Return whether this router is the leader of a pool."""
         return self.fleet.leader(pool) == self.fleet.own.router
 
     def weights_for(
         self, service: ServiceId, allowed: Collection[DataCentreId] | None
     ) -> dict[PoolId, int]:
-        """Return what each pool can do for requests kept to some data centres.
+        """Return the slots of each pool in the allowed data centres; None for any.
 
-        Pools that can do nothing are left out.
+        Pools without slots are omitted.
         """
         weights = self.weights.get(service, {})
         if allowed is None:
             return weights
-        able = {}
+        slots_by_pool = {}
         for pool in weights:
             loads = self.pools[pool].scheduler.loads.values()
-            places = [load.endpoint for load in loads]
-            able[pool] = sum(
-                item.slots for item in places if item.data_centre in allowed
+            endpoints = [load.endpoint for load in loads]
+            slots_by_pool[pool] = sum(
+                item.slots for item in endpoints if item.data_centre in allowed
             )
-        return {pool: slots for pool, slots in able.items() if slots}
+        return {pool: slots for pool, slots in slots_by_pool.items() if slots}
 
     def pool_for(
         self,
@@ -343,162 +353,193 @@
         prompt: tuple[Part, ...],
         allowed: Collection[DataCentreId] | None = None,
     ) -> PoolId:
-        """Return the pool of `service` that requests with this prefix go to."""
+        """Return the pool of `service` for requests with the prefix of `prompt`."""
         weights = self.weights_for(service, allowed)
         if not weights:
             return PoolId(f"{service}/0")
         if len(weights) == 1:
             return next(iter(weights))
-        return choose(weights, prompt[-2].id if len(prompt) > 1 else str(self.numbers))
+        return choose(
+            weights, prompt[-2].id if len(prompt) > 1 else str(self.last_call_number)
+        )
 
-    # This router's requests
+    # Requests of this router
 
     async def place_in_any(self, offer: Offer, service: ServiceId) -> Decision:
-        """Return the decision of the pool of a request's prefix, or of a further one.
+        """Return the decision of the pool of a request's prefix, or of a fallback pool.
 
-        Cancel to withdraw the request.
+        Cancelling the coroutine withdraws the request.
         """
         pool = self.pool_for(service, offer.prompt, offer.allowed)
-        asked = [pool]
-        refusals: list[TurnedAway] = []
+        tried = [pool]
+        rejections: list[TurnedAway] = []
         while True:
-            decision = self._hold_back(offer, pool) or await self.place(offer, pool)
+            decision = self._throttle(offer, pool) or await self.place(offer, pool)
             if isinstance(decision, Granted):
                 return decision
-            refusals.append(decision)
+            rejections.append(decision)
             weights = self.weights_for(service, offer.allowed)
-            further = choose_further(weights, asked, offer.call)
-            # Who decides may remember its answer under the old name.
+            fallback = choose_further(weights, tried, offer.call)
+            # The leader may still remember its decision under the old identifier.
             kept_at = decision.kept_at or offer.kept_at
             offer = replace(offer, call=self.next_call(), kept_at=kept_at)
-            if further is not None and len(asked) <= FURTHER_POOLS:
-                pool = further
-                asked.append(pool)
+            if fallback is not None and len(tried) <= FURTHER_POOLS:
+                pool = fallback
+                tried.append(pool)
             elif decision.reason == UNKNOWN_POOL and pool in weights:
                 return await self.place(offer, pool, alone=True)
             else:
-                return min(refusals, key=lambda item: item.retry_after)
+                return min(rejections, key=lambda item: item.retry_after)
 
-    def _hold_back(self, offer: Offer, pool: PoolId) -> TurnedAway | None:
-        """Return the refusal of a request that may not be offered to a pool."""
-        refusal = self.held_back.refuse(offer, pool, self.loop.time())
-        if refusal is not None:
-            self.tallies.of(pool).held_back += 1
-        return refusal
+    def _throttle(self, offer: Offer, pool: PoolId) -> TurnedAway | None:
+        """Return the rejection of a request that may not be offered to a pool."""
+        rejection = self.admission.reject(offer, pool, self.loop.time())
+        if rejection is not None:
+            self.tallies.of(pool).throttled += 1
+        return rejection
 
     async def place(self, offer: Offer, pool: PoolId, alone: bool = False) -> Decision:
-        """Return the decision on a request; cancel to withdraw it.
+        """Return the decision on a request.
+
+        Cancelling the coroutine withdraws the request.
 
         Parameters
         ----------
+        offer : Offer
+            The request.
+        pool : PoolId
+            The pool.
         alone : bool
-            Whether this router decides, whoever leads the pool.
+            Whether this router decides even if it doesn't lead the pool.
         """
         rests = self.rests_in(pool)
         if rests:
             offer = replace(offer, rests=rests)
-        tokens = self.held_back.take_tokens(offer, pool)
+        tokens = self.admission.take_throttled_tokens(offer, pool)
         if tokens:
-            offer = replace(offer, held_back=tokens)
+            offer = replace(offer, throttled_tokens=tokens)
         answered = self.loop.create_future()
-        ticket = Ticket(offer, pool, answered, self.loop.time())
-        self.tickets[offer.call] = ticket
+        pending = PendingRequest(offer, pool, answered, self.loop.time())
+        self.pending[offer.call] = pending
         if alone:
-            self._decide_here(ticket)
+            self._decide_locally(pending)
         else:
-            self._offer(ticket)
+            self._offer(pending)
         try:
-            decision = await ticket.answered
+            decision = await pending.answered
         finally:
-            self.tickets.pop(offer.call, None)
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            if not ticket.answered.done() or ticket.answered.cancelled():
-                self._withdraw(ticket)
+            self.pending.pop(offer.call, None)
+            if pending.timer is not None:
+                pending.timer.cancel()
+            if not pending.answered.done() or pending.answered.cancelled():
+                self._withdraw(pending)
         if isinstance(decision, Granted):
-            self._note_placed(ticket, decision)
+            self._record_placement(pending, decision)
         return decision
 
     def next_call(self) -> CallId:
-        """Return a new name for a request at the schedulers."""
-        self.numbers += 1
+        """Return a new identifier of a request for the schedulers."""
+        self.last_call_number += 1
         own = self.fleet.own
-        return CallId(f"{own.router}.{own.incarnation & 0xFFFF:x}.{self.numbers}")
+        return CallId(
+            f"{own.router}.{own.incarnation & 0xFFFF:x}.{self.last_call_number}"
+        )
 
-    def _offer(self, ticket: Ticket) -> None:
-        if ticket.answered.done():
+    def _offer(self, pending: PendingRequest) -> None:
+        if pending.answered.done():
             return
-        granter = self.fleet.responsible(ticket.pool)
-        if granter != self.fleet.own.router and self._is_given_up(ticket, granter):
-            granter = self._pass_over(ticket, granter)
-        if granter == self.fleet.own.router:
-            self._decide_here(ticket)
+        target_router = self.fleet.responsible(pending.pool)
+        if target_router != self.fleet.own.router and self._has_timed_out(
+            pending, target_router
+        ):
+            target_router = self._fail_over(pending, target_router)
+        if target_router == self.fleet.own.router:
+            self._decide_locally(pending)
             return
-        wait = WAITING_AGAIN if ticket.queued else OFFER_WAITS[ticket.unanswered]
-        ticket.unanswered += 1
-        message = offer_message(ticket.offer, ticket.pool, self.loop.time())
-        self.fleet.send(granter, message)
-        ticket.timer = self.loop.call_later(wait, self._offer, ticket)
+        wait = (
+            OFFER_REFRESH_INTERVAL
+            if pending.queued
+            else OFFER_RETRY_INTERVALS[pending.unanswered]
+        )
+        pending.unanswered += 1
+        message = offer_message(pending.offer, pending.pool, self.loop.time())
+        self.fleet.send(target_router, message)
+        pending.timer = self.loop.call_later(wait, self._offer, pending)
 
-    def _is_given_up(self, ticket: Ticket, granter: RouterId) -> bool:
-        """Return whether to leave a router that has not answered.
+    def _has_timed_out(self, pending: PendingRequest, target_router: RouterId) -> bool:
+        """Return whether a router has left too many offers unanswered.
 
-        One that is late decides with the account of all routers, whoever takes its
-        place without it: a router that is heard gets more time.
+        A router whose heartbeats arrive gets more time: even late, it decides with the
+        usage of all organisations, which its replacement doesn't have.
         """
-        if self.fleet.is_heard_since(granter, ticket.asked_at):
-            most = LATE_WAITING_MOST if ticket.queued else LATE_OFFERS_MOST
+        if self.fleet.is_heard_since(target_router, pending.asked_at):
+            limit = (
+                MAX_UNANSWERED_REFRESHES_LATE
+                if pending.queued
+                else MAX_UNANSWERED_OFFERS_LATE
+            )
         else:
-            most = WAITING_MOST if ticket.queued else OFFERS_MOST
-        return ticket.unanswered >= most
-
-    def _pass_over(self, ticket: Ticket, granter: RouterId) -> RouterId:
-        """Leave a router that does not answer; return who decides instead."""
-        self._note_unanswered(granter)
-        self.fleet.send(granter, WithdrawMessage(ticket.pool, ticket.offer.call))
-        self.fleet.unanswered(granter)
-        ticket.asked_at = self.loop.time()
-        ticket.unanswered = 0
-        ticket.queued = False
-        return self.fleet.responsible(ticket.pool)
-
-    def _decide_here(self, ticket: Ticket) -> None:
-        desk = self.pools.get(ticket.pool)
-        if desk is None:
+            limit = (
+                MAX_UNANSWERED_REFRESHES if pending.queued else MAX_UNANSWERED_OFFERS
+            )
+        return pending.unanswered >= limit
+
+    def _fail_over(self, pending: PendingRequest, target_router: RouterId) -> RouterId:
+        """Withdraw a request from a router that doesn't answer; return the next one."""
+        self._log_unanswered(target_router)
+        self.fleet.send(
+            target_router, WithdrawMessage(pending.pool, pending.offer.call)
+        )
+        self.fleet.unanswered(target_router)
+        pending.asked_at = self.loop.time()
+        pending.unanswered = 0
+        pending.queued = False
+        return self.fleet.responsible(pending.pool)
+
+    def _decide_locally(self, pending: PendingRequest) -> None:
+        pool_state = self.pools.get(pending.pool)
+        if pool_state is None:
             reason = "the service has no endpoints"
-            ticket.answered.set_result(TurnedAway(ticket.offer.call, reason, 1.0))
+            pending.answered.set_result(TurnedAway(pending.offer.call, reason, 1.0))
             return
-        ticket.local = True
-        desk.scheduler.offer(ticket.offer, self.loop.time())
-        self._decide(desk)
-        if not ticket.answered.done():
-            ticket.timer = self.loop.call_later(WAITING_AGAIN, self._offer, ticket)
+        pending.local = True
+        pool_state.scheduler.offer(pending.offer, self.loop.time())
+        self._decide(pool_state)
+        if not pending.answered.done():
+            pending.timer = self.loop.call_later(
+                OFFER_REFRESH_INTERVAL, self._offer, pending
+            )
 
-    def _note_unanswered(self, granter: RouterId) -> None:
+    def _log_unanswered(self, target_router: RouterId) -> None:
         now = self.loop.time()
-        if now - self.unanswered.get(granter, 0.0) > UNANSWERED_LOGGED:
-            logger.info("scheduler does not answer", extra={"scheduler": granter})
-            self.unanswered[granter] = now
-
-    def _withdraw(self, ticket: Ticket) -> None:
-        call = ticket.offer.call
-        desk = self.pools.get(ticket.pool)
-        if desk is not None:
-            desk.scheduler.withdraw(call)
-        granter = self.fleet.responsible(ticket.pool)
-        if granter != self.fleet.own.router:
-            self.fleet.send(granter, WithdrawMessage(ticket.pool, call))
-
-    def _note_placed(self, ticket: Ticket, decision: Granted) -> None:
-        offer = ticket.offer
+        if (
+            now - self.unanswered_logged_at.get(target_router, 0.0)
+            > UNANSWERED_LOG_INTERVAL
+        ):
+            logger.info("scheduler does not answer", extra={"scheduler": target_router})
+            self.unanswered_logged_at[target_router] = now
+
+    def _withdraw(self, pending: PendingRequest) -> None:
+        call = pending.offer.call
+        pool_state = self.pools.get(pending.pool)
+        if pool_state is not None:
+            pool_state.scheduler.withdraw(call)
+        target_router = self.fleet.responsible(pending.pool)
+        if target_router != self.fleet.own.router:
+            self.fleet.send(target_router, WithdrawMessage(pending.pool, call))
+
+    def _record_placement(self, pending: PendingRequest, decision: Granted) -> None:
+        offer = pending.offer
         now = self.loop.time()
         memory = offer.prompt_tokens + offer.output_tokens
-        active = Active(offer.call, offer.router, offer.prompt_tokens, memory, now, now)
-        desk = self.pools.get(ticket.pool)
-        load = desk.scheduler.loads.get(decision.endpoint) if desk else None
+        active = ActiveRequest(
+            offer.call, offer.router, offer.prompt_tokens, memory, now, now
+        )
+        pool_state = self.pools.get(pending.pool)
+        load = pool_state.scheduler.loads.get(decision.endpoint) if pool_state else None
         known = load.active.get(offer.call) if load else None
-        self.placed[offer.call] = Placed(
-            ticket.pool, known or active, decision.endpoint, offer.prompt
+        self.placed[offer.call] = PlacedRequest(
+            pending.pool, known or active, decision.endpoint, offer.prompt
         )
 
     def kept_at(
@@ -506,9 +547,9 @@
         prompt: tuple[Part, ...],
         allowed: Collection[DataCentreId] | None = None,
     ) -> EndpointId | None:
-        """Return the endpoint that last read the same prefix for this router.
+        """Return the endpoint to which this router last sent the same prefix.
 
-        None where it may get nothing any more, or is in no allowed data centre.
+        None if it gets no more requests, or is in no allowed data centre.
         """
         found = self.sent_prefixes.get(prompt[-2].id) if len(prompt) > 1 else None
         endpoint = self.endpoints.get(found) if found is not None else None
@@ -516,186 +557,205 @@
             return None
         return found if allowed is None or endpoint.data_centre in allowed else None
 
-    def _note_prefix(self, placed: Placed) -> None:
+    def _record_prefix(self, placed: PlacedRequest) -> None:
         if len(placed.prompt) < 2:
             return
         prefix = placed.prompt[-2].id
         self.sent_prefixes[prefix] = placed.endpoint
         self.sent_prefixes.move_to_end(prefix)
-        if len(self.sent_prefixes) > PREFIXES_KEPT:
+        if len(self.sent_prefixes) > MAX_REMEMBERED_PREFIXES:
             self.sent_prefixes.popitem(last=False)
 
     def begun(self, call: CallId, waited: float) -> None:
-        """Tell the scheduler that a request's first byte came."""
+        """Report the first byte of a request, `waited` seconds after it was sent."""
         placed = self.placed.get(call)
         if placed is None or placed.active.begun:
             return
-        granter = self.fleet.responsible(placed.pool)
-        desk = self.pools.get(placed.pool)
-        if desk is not None:
-            desk.scheduler.begun(call, waited)
-            self._decide_soon(desk)
+        target_router = self.fleet.responsible(placed.pool)
+        pool_state = self.pools.get(placed.pool)
+        if pool_state is not None:
+            pool_state.scheduler.begun(call, waited)
+            self._schedule_decision(pool_state)
         placed.active.begun = True
-        self._note_prefix(placed)
-        if granter != self.fleet.own.router:
-            message = BegunMessage(placed.pool, call, round(waited * 1000))
-            self.fleet.send(granter, message)
+        self._record_prefix(placed)
+        if target_router != self.fleet.own.router:
+            message = FirstByteMessage(placed.pool, call, round(waited * 1000))
+            self.fleet.send(target_router, message)
 
     def ended(self, call: CallId, outcome: Outcome) -> None:
-        """Tell the scheduler that an attempt ended."""
+        """Report the end of an attempt to the scheduler."""
         placed = self.placed.pop(call, None)
         if placed is None:
             return
-        desk = self.pools.get(placed.pool)
-        if desk is not None:
-            desk.scheduler.ended(call, outcome, self.loop.time())
-            self._decide_soon(desk)
-        granter = self.fleet.responsible(placed.pool)
-        if granter != self.fleet.own.router:
-            self.fleet.send(granter, EndedMessage(placed.pool, call, outcome.value))
+        pool_state = self.pools.get(placed.pool)
+        if pool_state is not None:
+            pool_state.scheduler.ended(call, outcome, self.loop.time())
+            self._schedule_decision(pool_state)
+        target_router = self.fleet.responsible(placed.pool)
+        if target_router != self.fleet.own.router:
+            self.fleet.send(
+                target_router, EndedMessage(placed.pool, call, outcome.value)
+            )
 
     async def keep_telling(self) -> None:
-        """Tell schedulers for ever what this router has at their endpoints."""
+        """Report this router's requests in flight periodically, until cancelled."""
         while True:
             await asyncio.sleep(HOLDING_INTERVAL)
             self.look_around()
 
     def look_around(self) -> None:
-        """Tell what this router has at endpoints, and forget what nobody speaks of."""
-        self.tell_held()
+        """Report requests in flight, expire stale state and log statistics."""
+        self.report_active()
         now = self.loop.time()
-        for desk in self.pools.values():
-            desk.scheduler.expire(now)
-            self._decide(desk)
-        self.held_back.expire(now)
+        for pool_state in self.pools.values():
+            pool_state.scheduler.expire(now)
+            self._decide(pool_state)
+        self.admission.expire(now)
         if self.tallies.is_due():
-            accounts = {desk.id: desk.scheduler.usage for desk in self.pools.values()}
-            led = {pool for pool in accounts if self.decides_for(pool)}
-            self.tallies.write(accounts, led)
+            accounts = {
+                pool_state.id: pool_state.scheduler.usage
+                for pool_state in self.pools.values()
+            }
+            leading = {pool for pool in accounts if self.decides_for(pool)}
+            self.tallies.write(accounts, leading)
 
-    def tell_held(self) -> None:
-        """Tell each scheduler what this router has at its endpoints."""
+    def report_active(self) -> None:
+        """Report this router's requests in flight to the scheduler of each pool."""
         now = self.loop.time()
         by_pool: dict[PoolId, list[Held]] = {}
         for call, placed in self.placed.items():
             placed.active.refreshed = now
             active = placed.active
             held = Held(
-                call, placed.endpoint, active.unread, active.memory, active.begun
+                call,
+                placed.endpoint,
+                active.prefill_tokens,
+                active.memory,
+                active.begun,
             )
             by_pool.setdefault(placed.pool, []).append(held)
         for pool, held in by_pool.items():
-            granter = self.fleet.responsible(pool)
-            if granter == self.fleet.own.router:
-                self._take_held(self.fleet.own.router, pool, held)
+            target_router = self.fleet.responsible(pool)
+            if target_router == self.fleet.own.router:
+                self._record_active(self.fleet.own.router, pool, held)
                 continue
-            for start in range(0, len(held), HELD_IN_ONE):
-                part = held[start : start + HELD_IN_ONE]
-                self.fleet.send(granter, HoldingMessage(pool, part))
+            for start in range(0, len(held), MAX_REQUESTS_PER_REPORT):
+                part = held[start : start + MAX_REQUESTS_PER_REPORT]
+                self.fleet.send(target_router, HoldingMessage(pool, part))
 
     def fleet_changed(self) -> None:
-        """Offer again what waits, since another router may decide now."""
-        self.tell_held()
-        for ticket in list(self.tickets.values()):
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            ticket.asked_at = self.loop.time()
-            ticket.unanswered = 0
-            ticket.queued = False
-            self._offer(ticket)
-
-    # Decisions for the fleet
-
-    def _decide_soon(self, desk: PoolDesk, delay: float = DECIDE_DELAY) -> None:
-        if not desk.scheduler.waiting:
+        """Offer pending requests again, since another router may be responsible now."""
+        self.report_active()
+        for pending in list(self.pending.values()):
+            if pending.timer is not None:
+                pending.timer.cancel()
+            pending.asked_at = self.loop.time()
+            pending.unanswered = 0
+            pending.queued = False
+            self._offer(pending)
+
+    # Decisions for the fleet's requests
+
+    def _schedule_decision(
+        self, pool_state: PoolState, delay: float = DECIDE_DELAY
+    ) -> None:
+        if not pool_state.scheduler.waiting:
             return
-        if desk.due is not None:
-            if desk.due.when() - self.loop.time() <= delay:
+        if pool_state.decision_timer is not None:
+            if pool_state.decision_timer.when() - self.loop.time() <= delay:
                 return
-            desk.due.cancel()
-        desk.due = self.loop.call_later(delay, self._decide, desk)
+            pool_state.decision_timer.cancel()
+        pool_state.decision_timer = self.loop.call_later(
+            delay, self._decide, pool_state
+        )
 
-    def _decide(self, desk: PoolDesk) -> None:
+    def _decide(self, pool_state: PoolState) -> None:
         now = self.loop.time()
-        if desk.due is not None:
-            tally = self.tallies.of(desk.id)
-            late = now - desk.due.when()
-            tally.latest = max(tally.latest, late)
-            if late >= LATE_ROUND:
-                self.hurried_until = now + HURRIED_FOR
-            desk.due.cancel()
-            desk.due = None
-        if not desk.scheduler.waiting:
+        if pool_state.decision_timer is not None:
+            statistics = self.tallies.of(pool_state.id)
+            late = now - pool_state.decision_timer.when()
+            statistics.max_delay = max(statistics.max_delay, late)
+            if late >= LATE_ROUND_DELAY:
+                self.overloaded_until = now + OVERLOAD_DURATION
+            pool_state.decision_timer.cancel()
+            pool_state.decision_timer = None
+        if not pool_state.scheduler.waiting:
             return
         if now < self.next_round:
             pause = self.next_round - now
-            desk.due = self.loop.call_later(pause, self._decide, desk)
+            pool_state.decision_timer = self.loop.call_later(
+                pause, self._decide, pool_state
+            )
             return
-        scheduler = desk.scheduler
-        leads = self.decides_for(desk.id)
-        desk.lead(leads, now)
+        scheduler = pool_state.scheduler
+        leads = self.decides_for(pool_state.id)
+        pool_state.set_leading(leads, now)
         share = 1.0 if leads else self.fleet.stand_in_share()
         scheduler.plan = msgspec.structs.replace(scheduler.plan, share=share)
-        scheduler.hurried = now < self.hurried_until
+        scheduler.overloaded = now < self.overloaded_until
         decisions = scheduler.decide(now)
         for decision in decisions:
-            self._announce(decision)
-        self._note_round(desk.id, decisions, leads, now)
+            self._deliver(decision)
+        self._record_round(pool_state.id, decisions, leads, now)
         ended = self.loop.time()
-        pause = ROUND_PAUSE * (ended - now)
+        pause = ROUND_PAUSE_FACTOR * (ended - now)
         self.next_round = ended + pause
-        if pause >= LATE_ROUND:
-            self.hurried_until = ended + HURRIED_FOR
+        if pause >= LATE_ROUND_DELAY:
+            self.overloaded_until = ended + OVERLOAD_DURATION
         if scheduler.waiting:
-            desk.due = self.loop.call_later(DECIDE_INTERVAL, self._decide, desk)
+            pool_state.decision_timer = self.loop.call_later(
+                DECIDE_INTERVAL, self._decide, pool_state
+            )
 
-    def _note_round(
+    def _record_round(
         self, pool: PoolId, decisions: list[Decision], leads: bool, begun: float
     ) -> None:
-        tally = self.tallies.of(pool)
-        tally.rounds += 1
-        tally.spent += self.loop.time() - begun
+        statistics = self.tallies.of(pool)
+        statistics.rounds += 1
+        statistics.time_spent += self.loop.time() - begun
         granted = sum(isinstance(item, Granted) for item in decisions)
-        tally.granted += granted
-        tally.turned_away += len(decisions) - granted
+        statistics.granted += granted
+        statistics.rejected += len(decisions) - granted
         if not leads:
             self.tallies.alone += granted
 
-    def _announce(self, decision: Decision) -> None:
+    def _deliver(self, decision: Decision) -> None:
         self.decided[decision.call] = decision
-        if len(self.decided) > DECIDED_KEPT:
+        if len(self.decided) > MAX_REMEMBERED_DECISIONS:
             self.decided.popitem(last=False)
-        ticket = self.tickets.get(decision.call)
-        if ticket is not None:
-            if not ticket.answered.done():
-                self._answer(ticket, self._based(decision), self.fleet.own.router)
+        pending = self.pending.get(decision.call)
+        if pending is not None:
+            if not pending.answered.done():
+                self._complete(
+                    pending, self._with_basis(decision), self.fleet.own.router
+                )
             return
         router = RouterId(decision.call.rsplit(".", 2)[0])
         self.fleet.send(router, decision_message(decision, self.basis()))
 
-    def _based(self, decision: Decision) -> Decision:
-        """Return a decision of this router with what it was made on."""
+    def _with_basis(self, decision: Decision) -> Decision:
+        """Return a decision of this router with the state it was made on."""
         if isinstance(decision, TurnedAway):
             decider = self.fleet.own.router
             return msgspec.structs.replace(decision, decider=decider)
         return msgspec.structs.replace(decision, basis=self.basis())
 
     def endpoint_lost(self, endpoint: EndpointId) -> None:
-        """Send nothing more to an endpoint that has ended, whoever found out."""
+        """Suspend an endpoint that has failed, whichever router detected it."""
         now = self.loop.time()
-        for desk in self.pools.values():
-            desk.scheduler.lost(endpoint, now)
+        for pool_state in self.pools.values():
+            pool_state.scheduler.suspend(endpoint, now)
 
     # Messages
 
     def take(self, datagram: Datagram) -> None:
-        """Take the messages of a peer."""
+        """Process the messages of a peer."""
         for message in datagram.messages:
             self._take(message, datagram.sender)
 
     @singledispatchmethod
     def _take(self, message: Message, sender: RouterId) -> None:
-        """Take one message; heartbeats are the fleet's."""
+        """Process one message; those of other components are ignored."""
 
     @_take.register
     def _(self, message: OfferMessage, sender: RouterId) -> None:
@@ -703,118 +763,128 @@
         if decision is not None:
             self.fleet.send(sender, decision_message(decision, self.basis()))
             return
-        desk = self.pools.get(message.pool)
-        if desk is None:
-            self._refuse_unknown(message, sender)
+        pool_state = self.pools.get(message.pool)
+        if pool_state is None:
+            self._reject_unknown_pool(message, sender)
             return
         now = self.loop.time()
         if not self.decides_for(message.pool):
             self.fleet.doubt(self.fleet.leader(message.pool))
-        known = message.call in desk.scheduler.waiting
-        tally = self.tallies.of(message.pool)
+        known = message.call in pool_state.scheduler.waiting
+        statistics = self.tallies.of(message.pool)
         if known:
-            tally.again += 1
+            statistics.repeated += 1
         else:
-            tally.offers += 1
-        desk.scheduler.offer(offer_of(message, sender, now), now)
+            statistics.offers += 1
+        pool_state.scheduler.offer(offer_of(message, sender, now), now)
         may_decide = not known and now >= self.next_round
-        if may_decide and desk.scheduler.has_room(now):
-            self._decide(desk)
-        self._decide_soon(desk, DECIDE_INTERVAL)
-        if message.call in desk.scheduler.waiting:
-            self.fleet.send(sender, WaitMessage(message.call))
+        if may_decide and pool_state.scheduler.has_room(now):
+            self._decide(pool_state)
+        self._schedule_decision(pool_state, DECIDE_INTERVAL)
+        if message.call in pool_state.scheduler.waiting:
+            self.fleet.send(sender, QueuedMessage(message.call))
 
-    def _refuse_unknown(self, message: OfferMessage, sender: RouterId) -> None:
-        """Answer an offer for a pool that this router doesn't have.
+    def _reject_unknown_pool(self, message: OfferMessage, sender: RouterId) -> None:
+        """Reject an offer for a pool that this router doesn't have.
 
-        Routers that know of more or fewer endpoints divide them differently, and one
-        that doesn't answer passes for dead.
+        Routers that know different endpoints assign them to different pools. A router
+        that didn't answer would be considered failed.
         """
         self.tallies.unknown += 1
-        refusal = _unknown_pool(message.call)
-        self.fleet.send(sender, decision_message(refusal, self.basis()))
+        rejection = _unknown_pool_rejection(message.call)
+        self.fleet.send(sender, decision_message(rejection, self.basis()))
 
     @_take.register
     def _(self, message: WithdrawMessage, sender: RouterId) -> None:
-        desk = self.pools.get(message.pool)
-        if desk is not None:
+        pool_state = self.pools.get(message.pool)
+        if pool_state is not None:
             self.tallies.of(message.pool).withdrawn += 1
-            desk.scheduler.withdraw(message.call)
-            desk.scheduler.ended(message.call, Outcome.CANCELLED, self.loop.time())
+            pool_state.scheduler.withdraw(message.call)
+            pool_state.scheduler.ended(
+                message.call, Outcome.CANCELLED, self.loop.time()
+            )
 
     @_take.register
-    def _(self, message: WaitMessage, sender: RouterId) -> None:
-        ticket = self.tickets.get(message.call)
-        if ticket is None or ticket.local:
+    def _(self, message: QueuedMessage, sender: RouterId) -> None:
+        pending = self.pending.get(message.call)
+        if pending is None or pending.local:
             return
-        ticket.unanswered = 0
-        if not ticket.queued:
-            ticket.queued = True
-            ticket.timer.cancel()
-            ticket.timer = self.loop.call_later(WAITING_AGAIN, self._offer, ticket)
+        pending.unanswered = 0
+        if not pending.queued:
+            pending.queued = True
+            pending.timer.cancel()
+            pending.timer = self.loop.call_later(
+                OFFER_REFRESH_INTERVAL, self._offer, pending
+            )
 
     @_take.register
     def _(self, message: GrantMessage, sender: RouterId) -> None:
-        self._resolve(granted_of(message, sender), sender)
+        self._resolve(grant_from_message(message, sender), sender)
 
     @_take.register
-    def _(self, message: TurnAwayMessage, sender: RouterId) -> None:
-        self._resolve(turned_away_of(message, sender), sender)
+    def _(self, message: RejectMessage, sender: RouterId) -> None:
+        self._resolve(rejection_from_message(message, sender), sender)
 
     def _resolve(self, decision: Decision, sender: RouterId) -> None:
-        ticket = self.tickets.get(decision.call)
-        if ticket is None or ticket.answered.done():
+        pending = self.pending.get(decision.call)
+        if pending is None or pending.answered.done():
             return
-        asked = self.fleet.responsible(ticket.pool)
-        if asked not in (sender, self.fleet.own.router):
-            # A late answer of one that was passed over; the next in line may have
-            # kept a place meanwhile.
-            self.fleet.send(asked, WithdrawMessage(ticket.pool, decision.call))
-        if ticket.local:
-            desk = self.pools.get(ticket.pool)
-            if desk is not None:
-                desk.scheduler.withdraw(decision.call)
-        self._answer(ticket, decision, sender)
-
-    def _answer(self, ticket: Ticket, decision: Decision, decider: RouterId) -> None:
-        """Give a request its decision, and take what it tells of its organisation."""
-        ticket.answered.set_result(decision)
+        target_router = self.fleet.responsible(pending.pool)
+        if target_router not in (sender, self.fleet.own.router):
+            # A late answer of a router that was replaced. Its replacement may have
+            # reserved a slot meanwhile.
+            self.fleet.send(target_router, WithdrawMessage(pending.pool, decision.call))
+        if pending.local:
+            pool_state = self.pools.get(pending.pool)
+            if pool_state is not None:
+                pool_state.scheduler.withdraw(decision.call)
+        self._complete(pending, decision, sender)
+
+    def _complete(
+        self, pending: PendingRequest, decision: Decision, decider: RouterId
+    ) -> None:
+        """Resolve a pending request, and update the admission of its organisation."""
+        pending.answered.set_result(decision)
         if isinstance(decision, TurnedAway) and decision.reason == UNKNOWN_POOL:
             return
-        if decider == self.fleet.leader(ticket.pool):
+        if decider == self.fleet.leader(pending.pool):
             now = self.loop.time()
-            self.held_back.take(ticket.offer, ticket.pool, decision, decider, now)
+            self.admission.record_decision(
+                pending.offer, pending.pool, decision, decider, now
+            )
 
     @_take.register
-    def _(self, message: BegunMessage, sender: RouterId) -> None:
-        desk = self.pools.get(message.pool)
-        if desk is not None:
-            desk.scheduler.begun(message.call, message.waited / 1000)
-            self._decide_soon(desk)
+    def _(self, message: FirstByteMessage, sender: RouterId) -> None:
+        pool_state = self.pools.get(message.pool)
+        if pool_state is not None:
+            pool_state.scheduler.begun(message.call, message.waited / 1000)
+            self._schedule_decision(pool_state)
 
     @_take.register
     def _(self, message: EndedMessage, sender: RouterId) -> None:
-        desk = self.pools.get(message.pool)
-        if desk is not None:
+        pool_state = self.pools.get(message.pool)
+        if pool_state is not None:
             outcome = Outcome(message.outcome)
-            desk.scheduler.ended(message.call, outcome, self.loop.time())
-            self._decide_soon(desk)
+            pool_state.scheduler.ended(message.call, outcome, self.loop.time())
+            self._schedule_decision(pool_state)
 
     @_take.register
     def _(self, message: HoldingMessage, sender: RouterId) -> None:
-        self._take_held(sender, message.pool, message.held)
+        self._record_active(sender, message.pool, message.held)
 
-    def _take_held(self, router: RouterId, pool: PoolId, held: list[Held]) -> None:
-        desk = self.pools.get(pool)
-        if desk is None:
+    def _record_active(self, router: RouterId, pool: PoolId, held: list[Held]) -> None:
+        pool_state = self.pools.get(pool)
+        if pool_state is None:
             return
         now = self.loop.time()
         for item in held:
-            active = Active(item.call, router, item.unread, item.memory, now, now)
+            active = ActiveRequest(
+                item.call, router, item.prefill_tokens, item.memory, now, now
+            )
             active.begun = item.begun
-            desk.scheduler.holds(item.endpoint, active)
+            pool_state.scheduler.record_active(item.endpoint, active)
 
 
-def _unknown_pool(call: CallId) -> TurnedAway:
-    """Return the refusal of a request for a pool that is not there."""
-    return TurnedAway(call, UNKNOWN_POOL, UNKNOWN_POOL_RETRY)
+def _unknown_pool_rejection(call: CallId) -> TurnedAway:
+    """Return the rejection of a request for a pool that doesn't exist."""
+    return TurnedAway(call, UNKNOWN_POOL, UNKNOWN_POOL_RETRY_AFTER)
--- a/carawayfold/coordination/scheduling/division.py
+++ b/carawayfold/coordination/scheduling/division.py
@@ -1,8 +1,8 @@
-"""How a service's endpoints form pools, and which of them a request goes to.
+"""Assignment of the endpoints of a service to pools, and of requests to pools.
 
-The loads it answers: a service of many endpoints, where one router that decided for
-all of them would be too busy; and endpoints that come and go, which must not move
-the others from pool to pool, since what is known of their caches would be lost.
+A service may have too many endpoints for one router to schedule, so they are split
+into pools. Endpoints that join or leave must not move others between pools, since
+the state of their caches would be lost. Both assignments use rendezvous hashing.
 """
 
 from __future__ import annotations
@@ -19,65 +19,70 @@
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import CallId, EndpointName, PoolId
 
-#: Endpoints decided on by one router, so that its work is bounded at any size.
+#: Maximum mean number of endpoints of a pool; bounds the work of its leader.
 POOL_SIZE = 16
-#: What divides a 64-bit hash into a number between 0 and 1.
+#: Number of values of a 64-bit hash.
 HASH_RANGE = 2.0**64
 
 
-class Drawn(msgspec.Struct, frozen=True):
-    """The pool of an endpoint among the first `count` pools, and its draw there."""
+class PoolDraw(msgspec.Struct, frozen=True):
+    """Pool of an endpoint among the first `count` pools, and its hash for that pool."""
 
     count: int
     pool: int
     draw: int
 
 
-class Division:
-    """Divides the endpoints of one service into pools, again and again.
+class PoolAssignment:
+    """Assignment of the endpoints of one service to pools.
 
-    Each endpoint goes to the pool with its highest draw, so with one pool more or less
-    only the endpoints of that pool change theirs. Draws are remembered: a change of one
-    endpoint costs no draws for the others.
+    Each endpoint goes to the pool for which its hash is highest, so that adding or
+    removing a pool moves only the endpoints of that pool. Results are cached between
+    calls: a change of one endpoint needs no hashes for the others.
+
+    Attributes
+    ----------
+    draws : dict
+        Cached result of each endpoint.
     """
 
     def __init__(self) -> None:
-        self.drawn: dict[EndpointName, Drawn] = {}
+        self.draws: dict[EndpointName, PoolDraw] = {}
 
-    def divide(self, endpoints: list[Endpoint]) -> list[list[Endpoint]]:
-        """Return the endpoints by pool, in order of their names."""
+    def assign(self, endpoints: list[Endpoint]) -> list[list[Endpoint]]:
+        """Return the endpoints of each pool, in order of their names."""
         count = max(1, -(-len(endpoints) // POOL_SIZE))
         pools: list[list[Endpoint]] = [[] for _ in range(count)]
-        drawn: dict[EndpointName, Drawn] = {}
+        drawn: dict[EndpointName, PoolDraw] = {}
         for endpoint in sorted(endpoints, key=lambda item: item.name):
-            known = drawn[endpoint.name] = self._draw(endpoint.name, count)
-            pools[known.pool].append(endpoint)
-        self.drawn = drawn
+            cached = drawn[endpoint.name] = self._draw(endpoint.name, count)
+            pools[cached.pool].append(endpoint)
+        self.draws = drawn
         return pools
 
-    def _draw(self, name: EndpointName, count: int) -> Drawn:
-        """Return the pool of an endpoint, from what is remembered where that helps."""
-        known = self.drawn.get(name)
-        if known is None or known.pool >= count:
-            known = Drawn(0, 0, -1)
-        pool, draw = known.pool, known.draw
-        for number in range(known.count, count):
+    def _draw(self, name: EndpointName, count: int) -> PoolDraw:
+        """Return the pool of an endpoint, hashing only pools that are not cached."""
+        cached = self.draws.get(name)
+        if cached is None or cached.pool >= count:
+            cached = PoolDraw(0, 0, -1)
+        pool, draw = cached.pool, cached.draw
+        for number in range(cached.count, count):
             drawn = _hash(f"{number}|{name}")
             if drawn > draw:
                 pool, draw = number, drawn
-        return Drawn(count, pool, draw)
+        return PoolDraw(count, pool, draw)
 
 
 def choose(weights: Mapping[PoolId, int], prefix: str) -> PoolId:
-    """Return the pool of requests with this prefix.
+    """Return the pool of requests with a prefix.
 
     Parameters
     ----------
     weights : mapping
-        What each pool can do; it gets requests in proportion.
+        Capacity of each pool in slots; pools get requests in proportion.
     prefix : str
-        What the requests share; all of them go to one pool, which few changes of
-        the weights alter.
+        Identifier of the shared prefix. All its requests go to one pool, which few
+        changes of the weights alter.
     """
     return max(weights, key=lambda pool: _score(f"{pool}|{prefix}", weights[pool]))
 
@@ -85,29 +90,29 @@
 def choose_further(
     weights: Mapping[PoolId, int], asked: Collection[PoolId], call: CallId
 ) -> PoolId | None:
-    """Return the pool to ask for a request that others could not serve in time.
+    """Return the next pool for a request that other pools could not serve in time.
 
     Parameters
     ----------
     weights : mapping
-        What each pool can do.
+        Capacity of each pool in slots.
     asked : collection of PoolId
-        Those that have turned it away.
+        Pools that have rejected the request.
     call : CallId
-        Draws the pool: requests that share a prefix spread over all pools, so that
-        each pool weighs the organisations' whole demand against one another.
+        Hashed to select the pool. Requests that share a prefix spread over all pools,
+        so that each pool sees the whole demand of the organisations.
 
     Returns
     -------
     PoolId or None
-        None where all were asked.
+        None if no pool is left.
     """
-    left = {pool: weight for pool, weight in weights.items() if pool not in asked}
-    return choose(left, call) if left else None
+    remaining = {pool: weight for pool, weight in weights.items() if pool not in asked}
+    return choose(remaining, call) if remaining else None
 
 
 def _score(text: str, weight: int) -> float:
-    """Return a draw that is the highest in proportion to `weight`."""
+    """Return a pseudo-random score that is the highest in proportion to `weight`."""
     drawn = (_hash(text) + 1) / (HASH_RANGE + 1)
     return weight / -math.log(drawn) if drawn < 1 else math.inf
 
--- a/carawayfold/coordination/scheduling/donors.py
+++ b/carawayfold/coordination/scheduling/donors.py
@@ -1,8 +1,8 @@
-"""Which engine hands the kept part of a prompt to the one that will run it.
+"""Choice of the engine from which a cached prefix is copied.
 
-The load it answers: many requests share long prefixes, and the engine that keeps one
-is full. Reading the prefix at a second engine takes that engine's time from all that
-runs there; copying what the first one keeps takes a small part of it.
+Designed for requests that share long prefixes while the engine that has one cached is
+full. Prefilling the prefix at a second engine slows down all requests that run there;
+copying it from the first engine takes a small part of that time.
 """
 
 from __future__ import annotations
@@ -18,55 +18,56 @@
     from carawayfold.coordination.scheduling.offers import Offer
     from carawayfold.state.ids import EndpointId
 
-#: Tokens below which a copy is not worth its set-up: reading 200 tokens takes an
-#: engine one to two milliseconds.
+#: Minimum tokens of a copy. Prefilling 200 tokens takes an engine one to two
+#: milliseconds, so the set-up of a smaller copy is not worth it.
 LEAST_FETCHED = 200
 
 
-class Donor(msgspec.Struct, frozen=True):
-    """An engine that keeps the beginning of a prompt.
+class CopySource(msgspec.Struct, frozen=True):
+    """An engine that has the beginning of a prompt cached.
 
     Attributes
     ----------
     id : EndpointId
-        Its name.
-    kept : int
-        Tokens of the prompt, from its beginning, that it has read already.
+        The engine.
+    cached_tokens : int
+        Cached tokens of the prompt, from its beginning.
     """
 
     id: EndpointId
-    kept: int
+    cached_tokens: int
 
-    def fetched(self, endpoint: EndpointId, kept: int) -> int:
-        """Return the tokens that `endpoint` would copy, which keeps `kept` itself."""
-        more = self.kept - kept
+    def copied_tokens(self, endpoint: EndpointId, cached: int) -> int:
+        """Return the tokens that `endpoint` copies if it has `cached` itself."""
+        more = self.cached_tokens - cached
         return more if endpoint != self.id and more >= LEAST_FETCHED else 0
 
 
-def find_donor(offer: Offer, backlogs: Collection[Backlog]) -> Donor | None:
-    """Return the engine that has read most of a prompt, if any has read enough.
+def find_copy_source(offer: Offer, backlogs: Collection[Backlog]) -> CopySource | None:
+    """Return the engine with the longest cached prefix of a prompt, if long enough.
 
-    What an engine was only told to read does not count: it may not have begun, and
-    a copy would bring nothing. Where no engine of the pool has read it, the one that
-    the request's router names is taken: it has read it in another pool.
+    A prompt that was only sent to an engine doesn't count: its prefill may not have
+    started, and there would be nothing to copy. If no engine of the pool has the
+    prefix, the engine named by the request's router is used, which has it cached in
+    another pool.
     """
-    if offer.shared_tokens < LEAST_FETCHED:
+    if offer.shared_prefix_tokens < LEAST_FETCHED:
         return None
     prompt = offer.prompt
-    found: Donor | None = None
-    most = LEAST_FETCHED - 1
+    best: CopySource | None = None
+    longest = LEAST_FETCHED - 1
     for backlog in backlogs:
         prefixes = backlog.load.prefixes
         if not offer.may_run_in(backlog.data_centre):
             continue
-        if not backlog.may_donate or prefixes.kept(prompt) <= most:
+        if not backlog.can_be_copied_from or prefixes.kept(prompt) <= longest:
             continue
         present = prefixes.present(prompt)
-        if present > most:
-            most = present
-            found = Donor(backlog.id, present)
-    if found is not None or offer.kept_at is None:
-        return found
+        if present > longest:
+            longest = present
+            best = CopySource(backlog.id, present)
+    if best is not None or offer.kept_at is None:
+        return best
     if any(offer.kept_at == backlog.id for backlog in backlogs):
         return None
-    return Donor(offer.kept_at, offer.shared_tokens)
+    return CopySource(offer.kept_at, offer.shared_prefix_tokens)
--- a/carawayfold/coordination/scheduling/endpoint_load.py
+++ b/carawayfold/coordination/scheduling/endpoint_load.py
@@ -1,4 +1,4 @@
-"""What a scheduler knows of one endpoint: what runs there, how fast, how well."""
+"""State of one endpoint at a scheduler: active requests, speed and failures."""
 
 from __future__ import annotations
 
@@ -15,78 +15,98 @@
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import CallId, RouterId
 
-#: Seconds in which the memory of failures is halved.
+#: Half-life of the failure ratio in seconds.
 FAILURE_HALF_LIFE = 1.5
-#: Weight of the newest measurement in moving averages.
-NEWEST = 0.1
-#: Seconds that an application request runs, before anything is measured.
+#: Weight of the newest sample in exponential moving averages, 0 to 1.
+SMOOTHING_WEIGHT = 0.1
+#: Initial residence time of a request in seconds, used until requests have ended.
 RESIDENCE = 0.05
 
 
-class Active(msgspec.Struct, eq=False):
-    """A request at an endpoint.
+class ActiveRequest(msgspec.Struct, eq=False):
+    """A request at an endpoint; all times are in monotonic seconds.
 
     Attributes
     ----------
-    unread : int
-        Tokens that the engine has to read for it.
-    ahead : int
-        Tokens that waited in the engine when it was sent, its own included.
+    call : CallId
+        The request.
+    router : RouterId
+        Its router.
+    prefill_tokens : int
+        Tokens that the engine has to prefill for it.
     memory : int
         Tokens of memory that it takes beyond shared parts.
+    since : float
+        Time at which it was granted.
+    reported_at : float
+        Time of the last report of its router that it is active.
+    queued_tokens : int
+        Tokens that waited to be prefilled when it was sent, its own included.
     begun : bool
-        Whether its first token has come.
-    refreshed : float
-        When its router last said that it still runs.
+        Whether its first token has been received.
     prompt : tuple of Part
-        Its prompt, if this scheduler placed it.
+        Its prompt, if it was granted by this scheduler.
     """
 
     call: CallId
     router: RouterId
-    unread: int
+    prefill_tokens: int
     memory: int
     since: float
     refreshed: float
-    ahead: int = 0
+    queued_tokens: int = 0
     begun: bool = False
     prompt: tuple[Part, ...] = ()
 
 
 @dataclass(slots=True, eq=False)
 class EndpointLoad:
-    """What the scheduler knows of one endpoint.
+    """State of one endpoint at a scheduler; all times are in monotonic seconds.
 
     Attributes
     ----------
+    endpoint : Endpoint
+        Its registration.
+    memory_tokens : int
+        Its cache memory in tokens.
     expected_speed : float
-        Tokens that it reads a second, before anything is measured.
-    first_tokens : FirstTokenModel
-        How long it takes to a first token.
+        Initial prefill rate in tokens per second, used until requests were observed.
     residence : float
         Seconds that a request stays, on average.
-    failing : float
-        Recent part of its answers that failed, 0 to 1.
+    failure_ratio : float
+        Recent ratio of failed answers, 0 to 1, as of `failure_ratio_at`.
+    failure_ratio_at : float
+        Time of the last change of `failure_ratio`.
     suspended_until : float
-        When it may be tried again after it fell silent.
+        Time from which it may be used again after it did not respond.
     next_warm_up : float
-        When it may get its next request, if it warms up.
-    unread : int
-        Tokens that wait to be read in it.
+        Time of its next permitted grant while it warms up.
+    consecutive_timeouts : int
+        Attempts in a row that got no response.
+    prefill_tokens : int
+        Tokens that wait to be prefilled.
+    memory : int
+        Tokens of memory used by active requests.
+    active : dict
+        Requests in flight.
+    prefixes : KeptPrefixes
+        Prefixes that it has cached.
+    first_tokens : FirstTokenModel
+        Model of the time to the first token.
     """
 
     endpoint: Endpoint
     memory_tokens: int
     expected_speed: float
     residence: float = RESIDENCE
-    failing: float = 0.0
-    failing_at: float = 0.0
+    failure_ratio: float = 0.0
+    failure_ratio_at: float = 0.0
     suspended_until: float = 0.0
     next_warm_up: float = 0.0
-    silences: int = 0
-    unread: int = 0
+    consecutive_timeouts: int = 0
+    prefill_tokens: int = 0
     memory: int = 0
-    active: dict[CallId, Active] = field(default_factory=dict)
+    active: dict[CallId, ActiveRequest] = field(default_factory=dict)
     prefixes: KeptPrefixes = field(init=False)
     first_tokens: FirstTokenModel = field(init=False)
 
@@ -94,47 +114,51 @@
         self.prefixes = KeptPrefixes(self.memory_tokens)
         self.first_tokens = FirstTokenModel(self.expected_speed)
 
-    def add(self, active: Active) -> None:
-        """Note that a request goes there."""
+    def add(self, active: ActiveRequest) -> None:
+        """Add a request that is sent to the endpoint."""
         self.active[active.call] = active
         self.memory += active.memory
         if not active.begun:
-            self.unread += active.unread
-        active.ahead = self.unread
+            self.prefill_tokens += active.prefill_tokens
+        active.queued_tokens = self.prefill_tokens
 
     def begin(self, call: CallId, waited: float) -> None:
-        """Note a request's first token, `waited` seconds after it was sent."""
+        """Record the first token of a request, `waited` seconds after it was sent."""
         active = self.active.get(call)
         if active is None or active.begun:
             return
         active.begun = True
         self.prefixes.read(active.prompt)
-        self.unread -= active.unread
-        self.silences = 0
+        self.prefill_tokens -= active.prefill_tokens
+        self.consecutive_timeouts = 0
         self.suspended_until = 0.0
-        if waited > 0 and active.unread:
-            self.first_tokens.note(active.ahead, waited)
+        if waited > 0 and active.prefill_tokens:
+            self.first_tokens.note(active.queued_tokens, waited)
 
-    def remove(self, call: CallId) -> Active | None:
-        """Note that a request has left; return it if it was there."""
+    def remove(self, call: CallId) -> ActiveRequest | None:
+        """Remove a request; return it if it was active."""
         active = self.active.pop(call, None)
         if active is None:
             return None
         self.memory -= active.memory
         if not active.begun:
-            self.unread -= active.unread
+            self.prefill_tokens -= active.prefill_tokens
         return active
 
-    def measure_residence(self, seconds: float) -> None:
-        """Note how long a request that was served stayed."""
-        self.residence += NEWEST * (seconds - self.residence)
-
-    def measure_failure(self, failed: bool, now: float) -> None:
-        """Note how an attempt ended."""
-        self.failing = self.failure_share(now)
-        self.failing_at = now
-        self.failing += NEWEST * 2 * (float(failed) - self.failing)
-
-    def failure_share(self, now: float) -> float:
-        """Return the recent part of attempts that failed."""
-        return self.failing * 0.5 ** ((now - self.failing_at) / FAILURE_HALF_LIFE)
+    def record_residence(self, seconds: float) -> None:
+        """Record the residence time of a completed request."""
+        self.residence += SMOOTHING_WEIGHT * (seconds - self.residence)
+
+    def record_attempt(self, failed: bool, now: float) -> None:
+        """Record whether an attempt failed."""
+        self.failure_ratio = self.current_failure_ratio(now)
+        self.failure_ratio_at = now
+        self.failure_ratio += (
+            SMOOTHING_WEIGHT * 2 * (float(failed) - self.failure_ratio)
+        )
+
+    def current_failure_ratio(self, now: float) -> float:
+        """Return the recent ratio of failed attempts at `now`, 0 to 1."""
+        return self.failure_ratio * 0.5 ** (
+            (now - self.failure_ratio_at) / FAILURE_HALF_LIFE
+        )
--- a/carawayfold/coordination/scheduling/held_back.py
+++ b/carawayfold/coordination/scheduling/held_back.py
@@ -1,8 +1,8 @@
-"""Requests that a router refuses itself, by what the pools' deciders last told.
+"""Admission control: rejection of requests before they are offered to a pool.
 
-The load it answers: organisations that ask for many times what a pool can do. To weigh
-each request before most are refused takes more time than the router that decides has,
-so each answer tells which part of an organisation's requests may be offered.
+Organisations may send many times the capacity of a pool. Examining each request before
+rejecting most of them takes more time than the leader of the pool has, so each of its
+decisions states which fraction of the organisation's requests may be offered.
 """
 
 from __future__ import annotations
@@ -19,53 +19,61 @@
     from carawayfold.coordination.scheduling.offers import Decision, Offer
     from carawayfold.state.ids import CallId, RouterId
 
-#: Seconds for which a part holds after it was told. Where a decider is lost, what it
-#: told stands in for it until another one has looked at what is asked.
-LIFETIME = 2.0
-#: Least and most of the time to come back that a caller is told, as parts of what the
-#: decider told last, so that callers don't come back together.
-LEAST_WAIT, MOST_WAIT = 0.75, 1.25
-#: Why such a request is refused.
-REASON = "its organisation asks for more than its share"
+#: Seconds for which an admitted fraction is valid. If the leader fails, its last
+#: values remain in use until its successor has examined the demand.
+ADMISSION_DURATION = 2.0
+#: Bounds of the retry delay of a throttled request, as multiples of the retry delay
+#: in the last rejection of the leader, so that callers don't retry at the same time.
+MIN_RETRY_FACTOR, MAX_RETRY_FACTOR = 0.75, 1.25
+#: Reason of the rejection, reported to callers.
+REJECTION_REASON = "its organisation asks for more than its share"
 
 
-class Account(NamedTuple):
-    """Whose requests are held back from which pool."""
+class AdmissionKey(NamedTuple):
+    """Requests that are throttled together."""
 
     pool: PoolId
     organisation: OrganisationId
     priority: int
 
 
-class Told(msgspec.Struct):
-    """What a decider told of an account.
+class AdmissionLimit(msgspec.Struct):
+    """Limit that the leader of a pool has set for requests of one key.
 
     Attributes
     ----------
-    part : float
-        Part of the requests that may be offered, 0 to 1.
+    admitted_fraction : float
+        Fraction of the requests that may be offered, 0 to 1.
     retry_after : float
-        Seconds after which those that are refused may come back.
+        Retry delay in seconds of the leader's last rejection.
     until : float
-        Loop time until which this holds.
-    tokens : int
-        Tokens held back that the decider has not been told of.
+        Loop time until which the limit is valid.
+    decider : RouterId
+        Router that set it.
+    throttled_tokens : int
+        Tokens of throttled requests not yet reported to the leader.
     """
 
-    part: float
+    admitted_fraction: float
     retry_after: float
     until: float
     decider: RouterId
-    tokens: int = 0
+    throttled_tokens: int = 0
 
 
-class HeldBack:
-    """Parts of organisations' requests that may be offered."""
+class AdmissionControl:
+    """Limits on the requests of organisations that may be offered to pools.
+
+    Attributes
+    ----------
+    limits : dict
+        Limit of each key.
+    """
 
     def __init__(self) -> None:
-        self.told: dict[Account, Told] = {}
+        self.limits: dict[AdmissionKey, AdmissionLimit] = {}
 
-    def take(
+    def record_decision(
         self,
         offer: Offer,
         pool: PoolId,
@@ -73,50 +81,52 @@
         sender: RouterId,
         now: float,
     ) -> None:
-        """Take what a decision tells of its organisation."""
-        account = _account_of(offer, pool)
-        known = self.told.get(account)
-        if known is None:
-            if decision.admitted >= 1:
+        """Update the limit of an organisation from a decision of the pool's leader."""
+        key = _key_of(offer, pool)
+        limit = self.limits.get(key)
+        if limit is None:
+            if decision.admitted_fraction >= 1:
                 return
-            known = self.told[account] = Told(1.0, 0.0, 0.0, sender)
-        known.part = decision.admitted
-        known.until = now + LIFETIME
-        known.decider = sender
+            limit = self.limits[key] = AdmissionLimit(1.0, 0.0, 0.0, sender)
+        limit.admitted_fraction = decision.admitted_fraction
+        limit.until = now + ADMISSION_DURATION
+        limit.decider = sender
         if isinstance(decision, TurnedAway):
-            known.retry_after = decision.retry_after
+            limit.retry_after = decision.retry_after
 
-    def refuse(self, offer: Offer, pool: PoolId, now: float) -> TurnedAway | None:
-        """Return the refusal of a request that may not be offered, None if it may."""
-        known = self.told.get(_account_of(offer, pool))
-        if known is None or known.until < now:
+    def reject(self, offer: Offer, pool: PoolId, now: float) -> TurnedAway | None:
+        """Return the rejection of a request that may not be offered, None if it may."""
+        limit = self.limits.get(_key_of(offer, pool))
+        if limit is None or limit.until < now:
             return None
         draw = _draw(offer.call)
-        if draw < known.part:
+        if draw < limit.admitted_fraction:
             return None
-        known.tokens += offer.share_tokens
-        # Those refused have the draws from the part up.
-        place = (draw - known.part) / (1 - known.part)
-        wait = known.retry_after * (LEAST_WAIT + (MOST_WAIT - LEAST_WAIT) * place)
-        return TurnedAway(offer.call, REASON, wait, None, known.decider)
-
-    def take_tokens(self, offer: Offer, pool: PoolId) -> int:
-        """Return the tokens that were held back since the last offer."""
-        known = self.told.get(_account_of(offer, pool))
-        if known is None:
+        limit.throttled_tokens += offer.charged_tokens
+        # Rejected requests have draws from the admitted fraction to 1.
+        position = (draw - limit.admitted_fraction) / (1 - limit.admitted_fraction)
+        wait = limit.retry_after * (
+            MIN_RETRY_FACTOR + (MAX_RETRY_FACTOR - MIN_RETRY_FACTOR) * position
+        )
+        return TurnedAway(offer.call, REJECTION_REASON, wait, None, limit.decider)
+
+    def take_throttled_tokens(self, offer: Offer, pool: PoolId) -> int:
+        """Return the tokens throttled since the last offer, and reset the count."""
+        limit = self.limits.get(_key_of(offer, pool))
+        if limit is None:
             return 0
-        tokens, known.tokens = known.tokens, 0
+        tokens, limit.throttled_tokens = limit.throttled_tokens, 0
         return tokens
 
     def expire(self, now: float) -> None:
-        """Forget what no longer holds."""
-        over = [account for account, known in self.told.items() if known.until < now]
-        for account in over:
-            del self.told[account]
+        """Remove limits that are no longer valid."""
+        expired = [key for key, limit in self.limits.items() if limit.until < now]
+        for key in expired:
+            del self.limits[key]
 
 
-def _account_of(offer: Offer, pool: PoolId) -> Account:
-    return Account(pool, offer.organisation, offer.priority)
+def _key_of(offer: Offer, pool: PoolId) -> AdmissionKey:
+    return AdmissionKey(pool, offer.organisation, offer.priority)
 
 
 def _draw(call: CallId) -> float:
--- a/carawayfold/coordination/scheduling/messages.py
+++ b/carawayfold/coordination/scheduling/messages.py
@@ -1,4 +1,4 @@
-"""Offers and decisions as messages between routers, and back."""
+"""Conversion of offers and decisions to messages between routers, and back."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from carawayfold.protocol.datagrams import (
     GrantMessage,
     OfferMessage,
-    TurnAwayMessage,
+    RejectMessage,
 )
 from carawayfold.protocol.exchanges import Part
 
@@ -23,7 +23,7 @@
 
 
 def offer_message(offer: Offer, pool: PoolId, now: float) -> OfferMessage:
-    """Return the message that offers a request to a pool."""
+    """Return the message that offers a request to a pool at monotonic time `now`."""
     return OfferMessage(
         pool=pool,
         call=offer.call,
@@ -40,12 +40,12 @@
         data_centre=offer.data_centre,
         allowed=sorted(offer.allowed or ()),
         rests=[(name, round((at - now) * 1000)) for name, at in offer.rests.items()],
-        held_back=offer.held_back,
+        throttled_tokens=offer.throttled_tokens,
     )
 
 
 def offer_of(message: OfferMessage, router: RouterId, now: float) -> Offer:
-    """Return the request that a router offers."""
+    """Return the request offered by a router, with times in local monotonic seconds."""
     return Offer(
         call=message.call,
         router=router,
@@ -63,15 +63,13 @@
         kept_at=message.kept_at,
         allowed=frozenset(message.allowed) or None,
         rests={name: now + left / 1000 for name, left in message.rests},
-        held_back=message.held_back,
+        throttled_tokens=message.throttled_tokens,
     )
 
 
-def decision_message(
-    decision: Decision, basis: Basis
-) -> GrantMessage | TurnAwayMessage:
-    """Return the message that tells a decision made on `basis`."""
-    admitted = round(decision.admitted * 1000)
+def decision_message(decision: Decision, basis: Basis) -> GrantMessage | RejectMessage:
+    """Return the message with a decision that was made on `basis`."""
+    admitted_fraction = round(decision.admitted_fraction * 1000)
     if isinstance(decision, Granted):
         return GrantMessage(
             decision.call,
@@ -79,29 +77,33 @@
             decision.donor,
             basis.offset,
             round(basis.age * 1000),
-            admitted,
+            admitted_fraction,
         )
     retry_after = round(decision.retry_after * 1000)
-    return TurnAwayMessage(
-        decision.call, decision.reason, retry_after, decision.kept_at, admitted
+    return RejectMessage(
+        decision.call, decision.reason, retry_after, decision.kept_at, admitted_fraction
     )
 
 
-def granted_of(message: GrantMessage, sender: RouterId) -> Granted:
-    """Return the grant that a router tells."""
+def grant_from_message(message: GrantMessage, sender: RouterId) -> Granted:
+    """Return the grant in a message of `sender`."""
     basis = Basis(sender, message.offset, message.age / 1000)
     return Granted(
-        message.call, message.endpoint, message.donor, basis, message.admitted / 1000
+        message.call,
+        message.endpoint,
+        message.donor,
+        basis,
+        message.admitted_fraction / 1000,
     )
 
 
-def turned_away_of(message: TurnAwayMessage, sender: RouterId) -> TurnedAway:
-    """Return the refusal that a router tells."""
+def rejection_from_message(message: RejectMessage, sender: RouterId) -> TurnedAway:
+    """Return the rejection in a message of `sender`."""
     return TurnedAway(
         message.call,
         message.reason,
         message.retry_after / 1000,
         message.kept_at,
         sender,
-        message.admitted / 1000,
+        message.admitted_fraction / 1000,
     )
--- a/carawayfold/coordination/scheduling/offers.py
+++ b/carawayfold/coordination/scheduling/offers.py
@@ -1,4 +1,4 @@
-"""What routers and the scheduler of a pool say to each other about a request."""
+"""Offers and decisions exchanged between routers and the scheduler of a pool."""
 
 from __future__ import annotations
 
@@ -24,44 +24,63 @@
 
 logger = logbook.Logger(__name__)
 
-#: Reason of a refusal that is no decision: who was asked doesn't have the pool.
+#: Reason of a rejection by a router that doesn't have the pool. It says nothing about
+#: the load of the pool.
 UNKNOWN_POOL = "the pool is not known"
-#: Characters of an unknown word that a log line holds.
-LOGGED_LENGTH = 40
-#: Weight of a generated token against a read one in what an organisation is owed,
-#: as the platform counts it.
-GENERATED_WEIGHT = 2
-#: Weight of a generated token against a read one in what an answer is worth.
-WORTH_WEIGHT = 10
+#: Maximum characters of an unknown outcome in a log line.
+MAX_LOGGED_LENGTH = 40
+#: Weight of an output token relative to a prompt token when counting the usage of an
+#: organisation, as the platform does.
+OUTPUT_TOKEN_WEIGHT = 2
+#: Weight of an output token relative to a prompt token in the value of an answer.
+OUTPUT_TOKEN_VALUE = 10
 
 
 @dataclass(slots=True, eq=False)
 class Offer:
-    """A request that wants an endpoint.
+    """A request that needs an endpoint.
+
+    All times are in the monotonic seconds of the scheduler.
 
     Attributes
     ----------
+    call : CallId
+        The request.
+    router : RouterId
+        Router that received it.
+    data_centre : DataCentreId
+        Data centre of that router.
+    organisation : OrganisationId
+        Organisation of its caller.
+    route : RouteId
+        Its route.
+    priority : int
+        Its priority; lower numbers are more urgent.
+    prompt : tuple of Part
+        Parts of its prompt; empty for requests without one.
+    prompt_tokens, output_tokens : int
+        Tokens of the prompt, and estimated tokens of the answer.
     arrived : float
-        When the scheduler first heard of it; all times in its monotonic seconds.
+        Time of its first offer to the scheduler.
     due : float
-        When its caller wants the answer, of a stream the first event.
+        Time at which the answer is due, or the first event of a stream.
     expires : float
-        When its caller gives up.
+        Time at which its caller gives up.
     avoid : frozenset of EndpointId
-        Endpoints that it has been to already.
-    kept_at : EndpointId or None
-        Where its router last sent the same prefix.
+        Endpoints that were tried already.
+    cached_at : EndpointId or None
+        Endpoint to which its router last sent the same prefix.
     allowed : frozenset of DataCentreId or None
         Data centres in which it may run; None for any.
     rests : dict
-        When each endpoint may be sent to that wants nothing from its router until then.
-    density : int
-        What its answer is worth for the engine's time, in powers of two.
-    held_back : int
-        Tokens that its organisation asked for and its router held back since the
-        offer before, see `held_back`.
-    shared_tokens : int
-        Tokens of the parts of the prompt that other requests share.
+        Time from which each endpoint that asked its router for a pause may be used.
+    value_density : int
+        Value of its answer per engine time, as a power of two.
+    throttled_tokens : int
+        Tokens of its organisation that its router throttled since the previous offer,
+        see `AdmissionControl`.
+    shared_prefix_tokens : int
+        Tokens of the prompt parts that other requests share.
     """
 
     call: CallId
@@ -80,27 +99,27 @@
     kept_at: EndpointId | None = None
     allowed: frozenset[DataCentreId] | None = None
     rests: dict[EndpointId, float] = field(default_factory=dict)
-    density: int = 0
-    held_back: int = 0
-    shared_tokens: int = field(init=False)
+    value_density: int = 0
+    throttled_tokens: int = 0
+    shared_prefix_tokens: int = field(init=False)
 
     def __post_init__(self) -> None:
         # The last part of a prompt is the request's own.
-        self.shared_tokens = sum(part.tokens for part in self.prompt[:-1])
+        self.shared_prefix_tokens = sum(part.tokens for part in self.prompt[:-1])
 
     def may_run_in(self, data_centre: DataCentreId) -> bool:
         """Return whether it may run in a data centre."""
         return self.allowed is None or data_centre in self.allowed
 
     @property
-    def share_tokens(self) -> int:
-        """Return what it takes of its organisation's share."""
-        return self.prompt_tokens + GENERATED_WEIGHT * self.output_tokens
+    def charged_tokens(self) -> int:
+        """Return the tokens that count against its organisation's share."""
+        return self.prompt_tokens + OUTPUT_TOKEN_WEIGHT * self.output_tokens
 
     @property
-    def worth(self) -> int:
-        """Return a measure of what its answer is worth."""
-        return self.prompt_tokens + WORTH_WEIGHT * self.output_tokens
+    def answer_value(self) -> int:
+        """Return the value of its answer, in weighted tokens."""
+        return self.prompt_tokens + OUTPUT_TOKEN_VALUE * self.output_tokens
 
 
 class Outcome(Enum):
@@ -112,52 +131,55 @@
     FAILED = "failed"
     SILENT = "silent"
     UNREACHABLE = "unreachable"
-    #: Not sent: its router knows that the endpoint leaves, or is to get nothing.
+    #: Not sent: its router knows that the endpoint leaves or is excluded.
     LEAVING = "leaving"
-    #: Not sent: its router knows that the endpoint warms up, who granted it did not.
+    #: Not sent: its router knows that the endpoint warms up, unlike the router that
+    #: granted it.
     WARMING = "warming"
 
     @classmethod
     def _missing_(cls, value: object) -> Outcome:
-        """Take a word that only a later version knows for an attempt that was given up.
+        """Treat an outcome of a later version as a cancelled attempt.
 
-        Routers of two versions work side by side during an update.
+        During an update, routers of two versions run side by side.
         """
-        logger.warning("unknown outcome", extra={"outcome": str(value)[:LOGGED_LENGTH]})
+        logger.warning(
+            "unknown outcome", extra={"outcome": str(value)[:MAX_LOGGED_LENGTH]}
+        )
         return cls.CANCELLED
 
 
 class Bar(Enum):
-    """Why nothing is sent to an endpoint that was granted."""
+    """Reason why a request is not sent to the endpoint it was granted."""
 
     LEAVING = "leaving"
     EVACUATED = "evacuated"
-    #: It warms up, and the router that decides does not know.
+    #: It warms up, which the router that granted it doesn't know.
     WARMING = "warming"
-    #: It wants nothing from this router for a while.
+    #: It asked this router for a pause.
     RESTING = "resting"
 
     @property
     def outcome(self) -> Outcome:
-        """Return what the router that decides hears."""
-        return BAR_OUTCOMES.get(self, Outcome.LEAVING)
+        """Return the outcome that is reported to the router that granted it."""
+        return BLOCK_OUTCOMES.get(self, Outcome.LEAVING)
 
 
-#: What the router that decides hears of each bar, where that is not that it leaves.
-BAR_OUTCOMES = {Bar.WARMING: Outcome.WARMING, Bar.RESTING: Outcome.CANCELLED}
+#: Outcome reported for each reason; `Outcome.LEAVING` for those not listed.
+BLOCK_OUTCOMES = {Bar.WARMING: Outcome.WARMING, Bar.RESTING: Outcome.CANCELLED}
 
 
 class Basis(msgspec.Struct, frozen=True):
-    """What a router knew of the endpoints when it decided.
+    """State of the registrations on which a router decided.
 
     Attributes
     ----------
     decider : RouterId
         The router.
     offset : Position
-        How far it had read registrations.
+        Position up to which it had read registrations.
     age : float
-        Seconds since it knew all that the store knew.
+        Seconds since its registrations were last complete.
     """
 
     decider: RouterId
@@ -166,40 +188,41 @@
 
 
 class Granted(msgspec.Struct, frozen=True):
-    """A request may go to an endpoint.
+    """Grant of an endpoint to a request.
 
     Attributes
     ----------
-    donor : EndpointId or None
-        The engine from which the endpoint should copy what that one keeps of the
-        prompt.
+    copy_source : EndpointId or None
+        The engine from which the endpoint should copy the cached prefix of the prompt.
     basis : Basis or None
-        What it was granted on; None before it is known who decided.
-    admitted : float
-        Part of its organisation's requests to be offered to the pool, 0 to 1.
+        State on which it was granted; None until it is filled in.
+    admitted_fraction : float
+        Fraction of its organisation's requests that may be offered to the pool, 0 to 1.
     """
 
     call: CallId
     endpoint: EndpointId
     donor: EndpointId | None = None
     basis: Basis | None = None
-    admitted: float = 1.0
+    admitted_fraction: float = 1.0
 
 
 class TurnedAway(msgspec.Struct, frozen=True):
-    """A request can't be served in time.
+    """Rejection of a request that can't be served in time.
 
     Attributes
     ----------
+    reason : str
+        Reason reported to the caller.
     retry_after : float
-        Seconds after which coming back helps.
-    kept_at : EndpointId or None
-        The pool's engine that has read most of the prompt, from which one of another
-        pool can copy it.
+        Seconds after which a retry is useful.
+    cached_at : EndpointId or None
+        The pool's engine with the longest cached prefix of the prompt, from which an
+        engine of another pool can copy it.
     decider : RouterId or None
-        Who decided; None before it is known.
-    admitted : float
-        Part of its organisation's requests to be offered to the pool, 0 to 1.
+        Router that decided; None until it is filled in.
+    admitted_fraction : float
+        Fraction of its organisation's requests that may be offered to the pool, 0 to 1.
     """
 
     call: CallId
@@ -207,7 +230,7 @@
     retry_after: float
     kept_at: EndpointId | None = None
     decider: RouterId | None = None
-    admitted: float = 1.0
+    admitted_fraction: float = 1.0
 
 
 Decision = Granted | TurnedAway
--- a/carawayfold/coordination/scheduling/placement.py
+++ b/carawayfold/coordination/scheduling/placement.py
@@ -1,9 +1,10 @@
-"""Which endpoint a request should go to, and when it would get there.
+"""Choice of the endpoint of a request, and prediction of its first token.
 
-The load it answers: long prompts that share prefixes. Reading a prefix again costs
-the engine as much as a whole short request, and prompts that wait in an engine delay
-everything behind them, since engines admit in order of arrival. So requests wait at
-the scheduler, where they can still be ordered, until an engine has little to read.
+Designed for long prompts that share prefixes. Prefilling a prefix again costs the
+engine as much as a whole short request, and a prompt that waits in an engine delays
+all requests behind it, since engines admit in order of arrival. Requests therefore
+wait at the scheduler, where they can still be reordered, until an engine has little
+prefill left.
 """
 
 from __future__ import annotations
@@ -16,160 +17,171 @@
     from collections.abc import Iterable
 
     from carawayfold.coordination.scheduling.backlog import Backlog
-    from carawayfold.coordination.scheduling.donors import Donor
+    from carawayfold.coordination.scheduling.donors import CopySource
     from carawayfold.coordination.scheduling.offers import Offer
 
-#: Seconds of reading that may wait in an engine. Less leaves it idle between two
-#: requests, more lets long prompts pile up in front of short ones.
+#: Seconds of prefill that may be queued in an engine. Less leaves the engine idle
+#: between two requests, more lets long prompts queue in front of short ones.
 READ_AHEAD = 0.1
-#: How much dearer it is to read a shared part again than its time alone: it takes
-#: time from all that runs beside it.
+#: Weight of prefilling a shared part again, relative to its prefill time. Prefill
+#: slows down all requests that run on the engine.
 REREAD_WEIGHT = 16.0
-#: How much a token that is copied from another engine weighs, in the same unit. More
-#: than a copy costs, so that requests stay where their prefixes are.
+#: Weight of copying a token from another engine, relative to its prefill time. Higher
+#: than the cost of the copy, so that requests stay where their prefixes are cached.
 FETCH_WEIGHT = 4.0
-#: Seconds that a choice which misses the objective is taken to be slower, so that no
-#: request waits too long for its prefix beside idle engines.
+#: Penalty in seconds of an endpoint where the request misses its objective, so that no
+#: request waits too long for its prefix while other engines are idle.
 LATE_PENALTY = 1.0
-#: Seconds that an endpoint in another data centre is taken to be slower: the way,
-#: and the traffic between data centres.
-FAR_PENALTY = 0.004
-#: Seconds that an engine whose slots are all taken is taken to be slower: what runs
-#: there gets its tokens later with each request more, and is lost with it.
+#: Penalty in seconds of an endpoint in another data centre, for network latency and
+#: traffic between data centres.
+REMOTE_PENALTY = 0.004
+#: Penalty in seconds of an engine whose slots are all in use, in proportion for fewer.
+#: Each further request delays the tokens of the others, and more requests fail if the
+#: engine does.
 FULL_ENGINE_PENALTY = 0.01
-#: Seconds that an engine which fails everything is taken to be slower.
+#: Penalty in seconds of an engine that fails all requests, in proportion for fewer.
 FAILURE_PENALTY = 2.0
-#: The same for plain requests: how much slower an endpoint is taken to be that fails
-#: everything while others fail nothing, in objectives of the request: a failed answer
-#: may lose the request or takes a second one, a wait of an objective makes it late.
-#: A penalty of seconds would let requests that want their answer in tenths of one wait
-#: beside idle endpoints that have failed a single answer.
-FAILURE_OBJECTIVES = 1.5
-#: Seconds that a request is taken to want its answer in at least: what comes back
-#: late has no time left, and still should not go where it fails.
-LEAST_OBJECTIVE = 0.1
-#: Part of an engine's memory that is filled, so that no request is preempted when
-#: estimates of the output are too low.
-MEMORY_USED = 0.92
-
-
-class Choice(msgspec.Struct, eq=False):
-    """An endpoint for a request.
+#: Penalty, in objectives of the request, of an endpoint that fails all requests
+#: without a prompt while the others fail none. A failed answer loses the request or
+#: costs a second attempt; a wait of one objective makes it late. A penalty in seconds
+#: would make requests with an objective of tenths of a second wait although endpoints
+#: with a single failed answer are idle.
+FAILURE_PENALTY_OBJECTIVES = 1.5
+#: Minimum objective in seconds used for that penalty. A retried request may have no
+#: time left, and still must avoid endpoints that fail.
+MIN_OBJECTIVE = 0.1
+#: Fraction of an engine's memory that is filled, so that no request is preempted when
+#: the output is longer than estimated.
+MAX_MEMORY_FRACTION = 0.92
+
+
+class Candidate(msgspec.Struct, eq=False):
+    """An endpoint evaluated for a request.
 
     Attributes
     ----------
-    unread : int
-        Tokens that it would have to read.
-    fetched : int
+    backlog : Backlog
+        Load of the endpoint.
+    prefill_tokens : int
+        Tokens that the endpoint would have to prefill.
+    copied_tokens : int
         Tokens that it would copy from another engine.
     memory : int
         Tokens of memory that the request would take.
     starts_in : float
-        Seconds until it may be sent there.
-    first_in : float
+        Seconds until the request may be sent there.
+    first_token_in : float
         Seconds until its first token.
     cost : float
-        What the choice is judged by: `first_in` and all penalties, in seconds.
+        Seconds until its first token plus all penalties; the lowest is chosen.
     """
 
     backlog: Backlog
-    unread: int
-    fetched: int
+    prefill_tokens: int
+    copied_tokens: int
     memory: int
     starts_in: float
-    first_in: float
+    first_token_in: float
     cost: float
 
 
-def tell_failing_apart(backlogs: list[Backlog]) -> None:
-    """Work out by how much each endpoint fails more than the mean of all."""
-    mean = sum(item.failure for item in backlogs) / len(backlogs)
+def compute_excess_failures(backlogs: list[Backlog]) -> None:
+    """Set how much the failure ratio of each endpoint exceeds the mean of all."""
+    mean = sum(item.failure_ratio for item in backlogs) / len(backlogs)
     for item in backlogs:
-        item.excess = max(0.0, item.failure - mean)
+        item.excess_failure_ratio = max(0.0, item.failure_ratio - mean)
 
 
-def choose(
+def choose_endpoint(
     offer: Offer,
     backlogs: Iterable[Backlog],
-    donor: Donor | None,
+    donor: CopySource | None,
     share: float,
     now: float,
-) -> Choice | None:
-    """Return the endpoint that costs `offer` least, None where there is none.
+) -> Candidate | None:
+    """Return the endpoint with the lowest cost for a request, None if there is none.
 
     Parameters
     ----------
     offer : Offer
         The request.
     backlogs : iterable of Backlog
-        Loads of the endpoints it may go to, requests ahead of it included.
-    donor : Donor or None
-        The engine from which a kept beginning of the prompt can be copied.
+        Loads of the endpoints it may run on, including the requests queued before it.
+    copy_source : CopySource or None
+        Engine from which a cached prefix of the prompt can be copied.
     share : float
-        Part of each endpoint that this scheduler may fill, 0 to 1.
+        Fraction of each endpoint that this scheduler may fill, 0 to 1.
     now : float
         Monotonic seconds.
     """
-    best: Choice | None = None
+    best: Candidate | None = None
     for backlog in backlogs:
-        choice = weigh(offer, backlog, donor, share, now)
-        if best is None or choice.cost < best.cost:
-            best = choice
+        candidate = evaluate(offer, backlog, donor, share, now)
+        if best is None or candidate.cost < best.cost:
+            best = candidate
     return best
 
 
-def weigh(
-    offer: Offer, backlog: Backlog, donor: Donor | None, share: float, now: float
-) -> Choice:
-    """Return what sending `offer` to one endpoint would mean; see `choose`."""
+def evaluate(
+    offer: Offer, backlog: Backlog, donor: CopySource | None, share: float, now: float
+) -> Candidate:
+    """Return the evaluation of one endpoint for a request; see `choose_endpoint`."""
     load = backlog.load
     speed = backlog.speed
     kept = load.prefixes.kept(offer.prompt)
-    fetched = donor.fetched(backlog.id, kept) if donor is not None else 0
-    unread = offer.prompt_tokens - kept - fetched
-    memory = unread + fetched + offer.output_tokens
-    starts_in = _wait(backlog, unread, memory, share)
-    first_in = starts_in + _until_first(offer, backlog, unread)
-    cost = first_in + FETCH_WEIGHT * fetched / speed
+    copied_tokens = donor.copied_tokens(backlog.id, kept) if donor is not None else 0
+    prefill_tokens = offer.prompt_tokens - kept - copied_tokens
+    memory = prefill_tokens + copied_tokens + offer.output_tokens
+    starts_in = _time_until_room(backlog, prefill_tokens, memory, share)
+    first_token_in = starts_in + _time_to_first_token(offer, backlog, prefill_tokens)
+    cost = first_token_in + FETCH_WEIGHT * copied_tokens / speed
     used = backlog.running / backlog.slots
     if offer.prompt_tokens:
-        cost += FAILURE_PENALTY * backlog.failure + FULL_ENGINE_PENALTY * used
+        cost += FAILURE_PENALTY * backlog.failure_ratio + FULL_ENGINE_PENALTY * used
     else:
         cost += backlog.residence * used
-        if backlog.excess:
-            objective = max(LEAST_OBJECTIVE, offer.due - offer.arrived)
-            cost += FAILURE_OBJECTIVES * objective * backlog.excess
-    if now + first_in > offer.due:
+        if backlog.excess_failure_ratio:
+            objective = max(MIN_OBJECTIVE, offer.due - offer.arrived)
+            cost += (
+                FAILURE_PENALTY_OBJECTIVES * objective * backlog.excess_failure_ratio
+            )
+    if now + first_token_in > offer.due:
         cost += LATE_PENALTY
-    reread = offer.shared_tokens - kept - fetched
-    if reread > 0:
-        cost += REREAD_WEIGHT * reread / speed
+    repeated_prefill = offer.shared_prefix_tokens - kept - copied_tokens
+    if repeated_prefill > 0:
+        cost += REREAD_WEIGHT * repeated_prefill / speed
     if backlog.data_centre != offer.data_centre:
-        cost += FAR_PENALTY
-    return Choice(backlog, unread, fetched, memory, starts_in, first_in, cost)
+        cost += REMOTE_PENALTY
+    return Candidate(
+        backlog, prefill_tokens, copied_tokens, memory, starts_in, first_token_in, cost
+    )
 
 
-def has_room(backlog: Backlog, unread: int, share: float) -> bool:
-    """Return whether an endpoint could take a request of `unread` tokens at once."""
-    return _wait(backlog, unread, 0, share) <= 0
+def has_room(backlog: Backlog, prefill_tokens: int, share: float) -> bool:
+    """Return whether an endpoint could take a request of `prefill_tokens` at once."""
+    return _time_until_room(backlog, prefill_tokens, 0, share) <= 0
 
 
-def _until_first(offer: Offer, backlog: Backlog, unread: int) -> float:
+def _time_to_first_token(offer: Offer, backlog: Backlog, prefill_tokens: int) -> float:
     """Return the seconds from sending a request to its first token."""
     if not offer.prompt_tokens:
         return backlog.residence
-    ahead = backlog.unread
-    most = backlog.speed * READ_AHEAD
-    if ahead > most:
-        ahead = most
-    return (ahead + unread) / backlog.speed + backlog.first_token
-
-
-def _wait(backlog: Backlog, unread: int, memory: int, share: float) -> float:
-    """Return the seconds until an endpoint has room to read, a slot and memory."""
-    longest = max(0.0, backlog.opens_in)
-    if backlog.unread > 0:
-        over = backlog.unread + unread - backlog.speed * READ_AHEAD * share
+    queued = backlog.prefill_tokens
+    max_queued = backlog.speed * READ_AHEAD
+    if queued > max_queued:
+        queued = max_queued
+    return (queued + prefill_tokens) / backlog.speed + backlog.first_token
+
+
+def _time_until_room(
+    backlog: Backlog, prefill_tokens: int, memory: int, share: float
+) -> float:
+    """Return the seconds until an endpoint has prefill capacity, a slot and memory."""
+    longest = max(0.0, backlog.available_in)
+    if backlog.prefill_tokens > 0:
+        over = (
+            backlog.prefill_tokens + prefill_tokens - backlog.speed * READ_AHEAD * share
+        )
         longest = max(longest, over / backlog.speed)
     slots = backlog.slots * share
     if slots < 1.0:
@@ -178,7 +190,7 @@
         wait = (backlog.running - slots + 1) * backlog.residence / slots
         longest = max(longest, wait)
     if backlog.memory > 0 and memory and backlog.load.memory_tokens:
-        room = backlog.load.memory_tokens * MEMORY_USED * share
+        room = backlog.load.memory_tokens * MAX_MEMORY_FRACTION * share
         over = backlog.memory + memory - room
         if over > 0:
             longest = max(longest, over / room * backlog.residence)
--- a/carawayfold/coordination/scheduling/scheduler.py
+++ b/carawayfold/coordination/scheduling/scheduler.py
@@ -1,15 +1,17 @@
-"""Decides which request of a pool goes where and when, and which is turned away.
+"""Scheduler of one pool: queues requests, grants them endpoints and rejects others.
 
-One router does so for each pool of endpoints, for the whole fleet. It performs no
-input or output and takes the time as an argument, so that any load can be replayed.
+For each pool of endpoints, one router runs the scheduler for the whole fleet. The
+scheduler performs no input or output and takes the time as an argument, so that any
+load can be replayed.
 
-The loads it answers:
+Situations it is designed for:
 
-- more work than the engines can do: what is owed to its organisation goes first, then
-  what is worth most for the engine's time; what can't be in time is turned away at
-  once, with when to come back;
-- one organisation that floods: beyond its max-min share it gets only what is idle;
-- a kind of request that others would always push aside: it keeps a part of its own.
+- Overload of the engines. Requests within the share of their organisation are served
+  first, then those whose answers are worth most per engine time. A request that can't
+  meet its deadline is rejected at once, with a retry delay.
+- An organisation that sends far more than others. Beyond its max-min fair share, it
+  gets idle capacity only.
+- A route whose requests always rank behind others. It keeps a minimum service rate.
 """
 
 from __future__ import annotations
@@ -23,14 +25,14 @@
 import xxhash
 
 from carawayfold.coordination.scheduling.backlog import Backlog
-from carawayfold.coordination.scheduling.donors import LEAST_FETCHED, find_donor
+from carawayfold.coordination.scheduling.donors import LEAST_FETCHED, find_copy_source
 from carawayfold.coordination.scheduling.endpoint_load import (
     RESIDENCE,
-    Active,
+    ActiveRequest,
     EndpointLoad,
 )
 from carawayfold.coordination.scheduling.offers import (
-    GENERATED_WEIGHT,
+    OUTPUT_TOKEN_WEIGHT,
     Decision,
     Granted,
     Offer,
@@ -38,10 +40,10 @@
     TurnedAway,
 )
 from carawayfold.coordination.scheduling.placement import (
-    Choice,
-    choose,
+    Candidate,
+    choose_endpoint,
+    compute_excess_failures,
     has_room,
-    tell_failing_apart,
 )
 from carawayfold.state.usage import UsageBook
 
@@ -50,142 +52,156 @@
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import CallId, EndpointId, RouteId, RouterId
 
-#: Seconds for which an active request counts without word of its router.
-ACTIVE_LIFETIME = 1.0
-#: Seconds for which a waiting request counts without word of its router.
-OFFER_LIFETIME = 1.5
-#: First and longest time in seconds for which an endpoint that fell silent rests.
-FIRST_REST = 0.5
-LONGEST_REST = 4.0
-#: Seconds for which one rests that refuses connections, or leaves by the word of a
-#: router that has read so: its registration tells within that.
-LOST_REST = 4.0
-#: Seconds for which one rests that a router knows to warm up and this one does not:
-#: its registration tells within that.
-WARMING_REST = 0.5
-#: Part of the rate that an endpoint tolerates while it warms up which it is given.
-#: Grants don't arrive as evenly as they are given, and two routers may decide at once
-#: while a partition lasts.
-WARM_UP_PART = 0.8
-#: Part of an engine's read-ahead and slots that work beyond a share may fill, so
-#: that owed work finds room at once.
+#: Seconds after which an active request that its router no longer reports is dropped.
+ACTIVE_REPORT_TIMEOUT = 1.0
+#: Seconds after which a waiting request that its router no longer offers is dropped.
+OFFER_TIMEOUT = 1.5
+#: Seconds for which an endpoint that did not respond is suspended: after the first
+#: failure, doubled with each further one up to the maximum.
+MIN_SUSPENSION_DURATION = 0.5
+MAX_SUSPENSION_DURATION = 4.0
+#: Seconds of suspension of an endpoint that refuses connections, or that a router
+#: reports as leaving. Its registration is updated within that time.
+UNAVAILABLE_SUSPENSION_DURATION = 4.0
+#: Seconds of suspension of an endpoint that another router knows to be warming up and
+#: this one doesn't. Its registration is read here within that time.
+WARMING_SUSPENSION_DURATION = 0.5
+#: Fraction of the tolerated warm-up rate of an endpoint that is used. Grants don't
+#: arrive as evenly spaced as they are made, and during a network partition two routers
+#: may decide for the same endpoint.
+WARM_UP_RATE_FRACTION = 0.8
+#: Fraction of an engine's read-ahead and slots that requests beyond their
+#: organisation's share may fill, so that requests within a share find room at once.
 BEYOND_SHARE_PART = 0.5
-#: A kind of request goes first while its served part is below this part of all's.
+#: A route is preferred while its granted ratio is below this fraction of the overall
+#: granted ratio.
 LEAST_SERVED = 0.6
-#: Seconds in which the memory of what was served of a kind is halved.
+#: Half-life in seconds of the offer and grant counts of a route.
 SERVED_HALF_LIFE = 5.0
-#: Tokens added to the cost of a request, so that tiny ones don't count as free.
+#: Tokens added to the cost of a request, so that very small ones don't count as free.
 FIXED_COST = 200
-#: How far a prediction may miss the objective before a request is turned away for
-#: it, as a part of the time wanted: predictions are not that good.
+#: Fraction of its objective by which the predicted first token of a request may be
+#: late before the request is rejected; allows for the error of predictions.
 PREDICTION_MARGIN = 0.15
-#: Part of a request's own reading time by which it may miss the objective: prompts
-#: so long that reading them takes most of it would never be served otherwise.
+#: Fraction of its own prefill time by which a request may miss its objective.
+#: Prompts whose prefill takes most of the objective would never be served otherwise.
 OWN_READING = 0.6
-#: Part of the time left that a request which can't be in time any more may wait for
-#: idle capacity.
+#: Fraction of its total time that a request past its objective may wait for idle
+#: capacity.
 LATE_PATIENCE = 0.02
-#: Least and most seconds told to callers who are turned away.
-LEAST_RETRY = 0.3
-MOST_RETRY = 5.0
-#: After how many times the wait for an answer callers come back that could not have
-#: been answered in time, so that the queue has gone down meanwhile.
+#: Bounds in seconds of the retry delay of rejected requests.
+MIN_RETRY_AFTER = 0.3
+MAX_RETRY_AFTER = 5.0
+#: Retry delay of requests that can't be answered in time, as a multiple of their
+#: predicted wait, so that the queue is shorter by then.
 LATE_RETRY = 2.0
-#: Part of the time left that callers wait at most before they come back.
+#: Maximum retry delay as a fraction of the time until the request expires.
 RETRY_PART = 1 / 3
-#: Seconds between looks at every waiting request, to order them anew and to find
-#: those that can't be in time any more.
+#: Seconds between reviews of the whole queue, which sort it again and reject requests
+#: that can't be in time any more.
 REVIEW_INTERVAL = 0.04
-#: Requests at the head of the queue for which each endpoint is weighed, so that the
-#: time of a decision does not grow with the queue.
-HEAD = 24
-#: The same between two such looks, whenever an endpoint has room.
-LOOKED_AT = 8
-#: Tokens a second that an engine is taken to read where the operators state no
-#: throughput: the least of the deployments known.
-UNSTATED_SPEED = 60_000.0
-#: Seconds for which a pool counts as full after it turned a request away that could
-#: not be in time.
-FULL_FOR = 0.5
-#: Tokens of a short request, for which an endpoint must have room to count as free.
-SHORT_REQUEST = 300
-
-
-class Served(msgspec.Struct):
-    """How much of a kind of request was offered and granted, fading with time."""
+#: Number of requests at the head of the queue for which a review evaluates each
+#: endpoint. Bounded so that the time of a decision doesn't grow with the queue.
+QUEUE_HEAD_LENGTH = 24
+#: The same for a round between two reviews, while an endpoint has room.
+MAX_DECIDED_BETWEEN_REVIEWS = 8
+#: Assumed prefill rate of an engine in tokens per second where the configuration
+#: states no throughput: the lowest one of the known deployments.
+DEFAULT_PREFILL_RATE = 60_000.0
+#: Seconds for which a pool counts as full after it rejected a request that could not
+#: be in time.
+FULL_DURATION = 0.5
+#: Tokens of a short request; an endpoint with room for one counts as free.
+SHORT_REQUEST_TOKENS = 300
+
+
+class RouteStatistics(msgspec.Struct):
+    """Exponentially decaying counts of offers and grants of one route.
+
+    Attributes
+    ----------
+    offered, granted : float
+        Decayed numbers of requests.
+    updated_at : float
+        Monotonic seconds of the last decay.
+    """
 
     offered: float = 0.0
     granted: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def fade(self, now: float) -> None:
-        """Let what lies back count less."""
-        factor = 0.5 ** ((now - self.at) / SERVED_HALF_LIFE)
+    def decay(self, now: float) -> None:
+        """Apply the decay up to `now`, in monotonic seconds."""
+        factor = 0.5 ** ((now - self.updated_at) / SERVED_HALF_LIFE)
         self.offered *= factor
         self.granted *= factor
-        self.at = now
+        self.updated_at = now
 
-    def part(self) -> float:
-        """Return the part that was granted."""
+    def granted_ratio(self) -> float:
+        """Return the fraction of offered requests that were granted; 1 if none were."""
         return self.granted / self.offered if self.offered else 1.0
 
 
 class Rank(NamedTuple):
-    """What a request's place in the queue is judged by, the least first.
+    """Sort key of a queued request; the lowest is served first.
 
     Attributes
     ----------
-    enough : bool
+    organisation_not_behind : bool
         Whether its organisation has got about as much as others.
     beyond_share : bool
-        Whether it is beyond its organisation's share.
+        Whether it exceeds the share of its organisation.
     late : bool
-        Whether it misses its objective already.
-    kind_enough : bool
-        Whether its kind of request is served about as often as all are.
-    lightness : int
-        The less, the more it is worth for the engine's time.
+        Whether it has missed its objective already.
+    priority : int
+        Priority of the request; lower numbers are more urgent.
+    route_not_behind : bool
+        Whether its route is served about as often as all routes.
+    negated_density : int
+        Negative value of the answer per engine time, see `Offer.value_density`.
     due : float
-        When its caller wants the answer.
+        Monotonic seconds at which the answer is due.
     """
 
-    enough: bool
+    organisation_not_behind: bool
     beyond_share: bool
     late: bool
     priority: int
-    kind_enough: bool
-    lightness: int
+    route_not_behind: bool
+    negated_density: int
     due: float
 
 
 @dataclass(slots=True, order=True)
-class Ranked:
-    """A request in its place in the queue."""
+class QueueEntry:
+    """A queued request with its sort key."""
 
     rank: Rank
     offer: Offer = field(compare=False)
 
 
 class PoolPlan(msgspec.Struct, frozen=True):
-    """What a scheduler has to work with.
+    """Capacity and limits of a pool.
 
     Attributes
     ----------
     throughput : float
-        Tokens a second of the pool by the operators' word; 0 if not stated.
+        Configured throughput of the pool in tokens per second; 0 if not stated.
     memory_tokens : int
-        Memory of each engine.
+        Cache memory of each engine in tokens.
     speed : float
-        Tokens a second that an engine reads, before anything is measured.
+        Initial prefill rate of an engine in tokens per second, used until requests
+        have been observed.
     share : float
-        Part of each endpoint that this scheduler may fill, 0 to 1.
+        Fraction of each endpoint that this scheduler may fill, 0 to 1.
     warm_up_rate : float
-        Requests a second that an endpoint tolerates while it warms up; 0 for any.
+        Requests per second that an endpoint tolerates while it warms up; 0 for no
+        limit.
     """
 
     throughput: float = 0.0
     memory_tokens: int = 0
-    speed: float = UNSTATED_SPEED
+    speed: float = DEFAULT_PREFILL_RATE
     share: float = 1.0
     warm_up_rate: float = 0.0
 
@@ -194,27 +210,44 @@
 class Scheduler:
     """Queue and endpoints of one pool.
 
+    All times are in monotonic seconds.
+
     Attributes
     ----------
+    window : float
+        Seconds over which the usage of organisations is counted.
+    plan : PoolPlan
+        Capacity and limits of the pool.
+    loads : dict
+        State of each endpoint.
     waiting : dict
         Requests without an endpoint, in order of arrival.
-    order : list of Ranked
-        The same in the order in which they are served; those that have left may
-        still stand there until the next look at all.
+    reported_at : dict
+        Time of the last offer of each waiting request.
+    placements : dict
+        Endpoint of each active request.
     unreachable : dict
-        Until when a router is taken not to reach an endpoint.
+        Time until which an endpoint is considered unreachable from a router.
+    routes : dict
+        Offer and grant counts of each route.
+    queue : list of QueueEntry
+        The waiting requests in the order in which they are served. Requests that are
+        no longer waiting may remain in it until the next review.
+    last_review_at : float
+        Time of the last review of the whole queue.
     speed : float
-        Tokens that an engine reads a second, the mean of what is measured.
+        Prefill rate in tokens per second, the mean over the engines.
     full_until : float
-        Monotonic seconds until which the pool counts as one that can't do what is
-        asked of it.
-    hurried : bool
-        Whether its router has too little time for all that is offered.
+        Time until which the pool counts as full.
+    overloaded : bool
+        Whether this router has too little processing time for all offers.
     least_urgent : int
-        The priority of the least urgent requests, the highest number.
-    warming_from : float
-        Monotonic seconds from which endpoints that warm up may get requests by this
-        scheduler, infinity for never.
+        Priority of the least urgent requests seen, the highest number.
+    warm_up_allowed_from : float
+        Time from which this scheduler may grant endpoints that warm up; infinity for
+        never.
+    usage : UsageBook
+        Tokens requested by and granted to each organisation.
     """
 
     window: float
@@ -222,57 +255,59 @@
     loads: dict[EndpointId, EndpointLoad] = field(default_factory=dict)
     waiting: dict[CallId, Offer] = field(default_factory=dict)
     refreshed: dict[CallId, float] = field(default_factory=dict)
-    places: dict[CallId, EndpointId] = field(default_factory=dict)
+    placements: dict[CallId, EndpointId] = field(default_factory=dict)
     unreachable: dict[tuple[RouterId, EndpointId], float] = field(default_factory=dict)
-    served: dict[RouteId, Served] = field(default_factory=dict)
-    order: list[Ranked] = field(default_factory=list)
-    reviewed: float = 0.0
-    speed: float = UNSTATED_SPEED
+    routes: dict[RouteId, RouteStatistics] = field(default_factory=dict)
+    queue: list[QueueEntry] = field(default_factory=list)
+    last_review_at: float = 0.0
+    speed: float = DEFAULT_PREFILL_RATE
     full_until: float = 0.0
-    hurried: bool = False
+    overloaded: bool = False
     least_urgent: int = 0
-    warming_from: float = 0.0
+    warm_up_allowed_from: float = 0.0
     usage: UsageBook = field(init=False)
 
     def __post_init__(self) -> None:
         self.usage = UsageBook(self.window)
 
-    # What the scheduler is told
+    # Input
 
     def set_endpoints(self, endpoints: list[Endpoint], plan: PoolPlan) -> None:
-        """Take the pool's endpoints; what is known of those that stay is kept."""
+        """Replace the endpoints of the pool, keeping the state of those that remain."""
         self.plan = plan
-        known = self.loads
-        # One that nothing is known of should not seem slower than all others.
-        residences = [load.residence for load in known.values()] or [RESIDENCE]
+        previous = self.loads
+        # A new endpoint must not appear slower than all others.
+        residences = [load.residence for load in previous.values()] or [RESIDENCE]
         expected = sum(residences) / len(residences)
         self.loads = {}
         for endpoint in endpoints:
-            load = known.get(endpoint.id)
+            load = previous.get(endpoint.id)
             if load is None:
                 load = EndpointLoad(endpoint, plan.memory_tokens, plan.speed, expected)
             load.endpoint = endpoint
             self.loads[endpoint.id] = load
 
     def offer(self, offer: Offer, now: float) -> None:
-        """Take a request, or word that it still waits."""
+        """Add a request to the queue, or refresh it if it is queued already."""
         self.refreshed[offer.call] = now
         if offer.call in self.waiting:
             return
         self.waiting[offer.call] = offer
-        asked = offer.share_tokens + offer.held_back
-        self.usage.asked(offer.organisation, now, asked)
+        requested = offer.charged_tokens + offer.throttled_tokens
+        self.usage.asked(offer.organisation, now, requested)
         self.least_urgent = max(self.least_urgent, offer.priority)
-        served = self.served.setdefault(offer.route, Served(at=now))
-        served.fade(now)
-        served.offered += 1
-        self._learn_prefix(offer)
-        offer.density = self._density(offer)
-        rank = self._rank(offer, self._overall_part(now), now)
-        insort(self.order, Ranked(rank, offer))
-
-    def _learn_prefix(self, offer: Offer) -> None:
-        """Believe a router that knows where a prefix went, if nobody else does."""
+        statistics = self.routes.setdefault(
+            offer.route, RouteStatistics(updated_at=now)
+        )
+        statistics.decay(now)
+        statistics.offered += 1
+        self._record_prefix_hint(offer)
+        offer.value_density = self._value_density(offer)
+        rank = self._rank(offer, self._overall_granted_ratio(now), now)
+        insort(self.queue, QueueEntry(rank, offer))
+
+    def _record_prefix_hint(self, offer: Offer) -> None:
+        """Record where a router last sent a prefix, if no engine has it."""
         load = self.loads.get(offer.kept_at) if offer.kept_at else None
         if load is None or len(offer.prompt) < 2:
             return
@@ -280,157 +315,167 @@
         if not any(other.prefixes.kept(shared) for other in self.loads.values()):
             load.prefixes.send(shared)
 
-    def learn_kept(self, endpoint: EndpointId, parts: list[Part]) -> None:
-        """Take an engine's own word on what it keeps."""
+    def record_cached_prefixes(self, endpoint: EndpointId, parts: list[Part]) -> None:
+        """Record the prompt parts that an engine reports as cached."""
         load = self.loads.get(endpoint)
         if load is not None:
             load.prefixes.read(parts)
 
     def withdraw(self, call: CallId) -> None:
-        """Forget a request that waits."""
+        """Remove a waiting request."""
         self.waiting.pop(call, None)
         self.refreshed.pop(call, None)
 
     def begun(self, call: CallId, waited: float) -> None:
-        """Note the first token of a request."""
+        """Record the first token of a request, `waited` seconds after it was sent."""
         load = self._load_of(call)
         if load is not None:
             load.begin(call, waited)
 
     def ended(self, call: CallId, outcome: Outcome, now: float) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt and suspend the endpoint where needed."""
         load = self._load_of(call)
-        self.places.pop(call, None)
+        self.placements.pop(call, None)
         if load is None:
             return
         active = load.remove(call)
         if active is None:
             return
         if outcome is Outcome.WHOLE:
-            load.measure_residence(now - active.since)
+            load.record_residence(now - active.since)
         if outcome is Outcome.LEAVING:
-            self.lost(load.endpoint.id, now)
+            self.suspend(load.endpoint.id, now)
             return
         if outcome is Outcome.WARMING:
-            load.suspended_until = max(load.suspended_until, now + WARMING_REST)
+            load.suspended_until = max(
+                load.suspended_until, now + WARMING_SUSPENSION_DURATION
+            )
             return
         if outcome is not Outcome.CANCELLED:
-            load.measure_failure(outcome is not Outcome.WHOLE, now)
+            load.record_attempt(outcome is not Outcome.WHOLE, now)
         if outcome is Outcome.SILENT:
-            self._rest(load, now)
+            self._suspend(load, now)
         if outcome is Outcome.UNREACHABLE:
-            rest = min(LONGEST_REST, FIRST_REST * 2 ** min(load.silences, 3))
-            self.unreachable[active.router, load.endpoint.id] = now + rest
-
-    def lost(self, endpoint: EndpointId, now: float) -> None:
-        """Send nothing more to an endpoint that takes no connections, or leaves."""
+            duration = min(
+                MAX_SUSPENSION_DURATION,
+                MIN_SUSPENSION_DURATION * 2 ** min(load.consecutive_timeouts, 3),
+            )
+            self.unreachable[active.router, load.endpoint.id] = now + duration
+
+    def suspend(self, endpoint: EndpointId, now: float) -> None:
+        """Suspend an endpoint that takes no connections, or leaves."""
         load = self.loads.get(endpoint)
         if load is not None:
-            load.suspended_until = now + LOST_REST
+            load.suspended_until = now + UNAVAILABLE_SUSPENSION_DURATION
 
-    def _rest(self, load: EndpointLoad, now: float) -> None:
-        rest = min(LONGEST_REST, FIRST_REST * 2 ** min(load.silences, 3))
-        load.silences += 1
-        load.suspended_until = now + rest
+    def _suspend(self, load: EndpointLoad, now: float) -> None:
+        duration = min(
+            MAX_SUSPENSION_DURATION,
+            MIN_SUSPENSION_DURATION * 2 ** min(load.consecutive_timeouts, 3),
+        )
+        load.consecutive_timeouts += 1
+        load.suspended_until = now + duration
 
-    def holds(self, endpoint: EndpointId, active: Active) -> None:
-        """Take a router's word that a request is at an endpoint."""
+    def record_active(self, endpoint: EndpointId, active: ActiveRequest) -> None:
+        """Record a router's report that a request is active at an endpoint."""
         load = self.loads.get(endpoint)
         if load is None:
             return
         known = load.active.get(active.call)
         if known is None:
             load.add(active)
-            self.places[active.call] = endpoint
+            self.placements[active.call] = endpoint
             return
         known.refreshed = active.refreshed
         if active.begun and not known.begun:
             load.begin(active.call, 0.0)
 
     def expire(self, now: float) -> None:
-        """Forget what no router has spoken of for too long."""
-        for call, heard in list(self.refreshed.items()):
-            if now - heard > OFFER_LIFETIME:
+        """Drop requests that are no longer reported, and expired unreachability."""
+        for call, offered_at in list(self.refreshed.items()):
+            if now - offered_at > OFFER_TIMEOUT:
                 self.withdraw(call)
         for load in self.loads.values():
             for active in list(load.active.values()):
-                if now - active.refreshed > ACTIVE_LIFETIME:
+                if now - active.refreshed > ACTIVE_REPORT_TIMEOUT:
                     load.remove(active.call)
-                    self.places.pop(active.call, None)
+                    self.placements.pop(active.call, None)
         for pair, until in list(self.unreachable.items()):
             if now >= until:
                 del self.unreachable[pair]
 
     def _load_of(self, call: CallId) -> EndpointLoad | None:
-        endpoint = self.places.get(call)
+        endpoint = self.placements.get(call)
         return self.loads.get(endpoint) if endpoint is not None else None
 
     # Decisions
 
     def decide(self, now: float) -> list[Decision]:
-        """Return every grant and every refusal that is due."""
+        """Return the grants and rejections that are possible at `now`."""
         if not self.waiting:
             return []
         backlogs = self._backlogs(now)
-        if now - self.reviewed >= REVIEW_INTERVAL:
+        if now - self.last_review_at >= REVIEW_INTERVAL:
             return self._review(backlogs, now)
         decisions: list[Decision] = []
-        for entry in self.order[:LOOKED_AT]:
+        for entry in self.queue[:MAX_DECIDED_BETWEEN_REVIEWS]:
             if not self._has_room(backlogs):
                 break
-            self._decide_into(decisions, entry.offer, backlogs, now)
-        self._drop_decided(decisions)
+            self._append_decision(decisions, entry.offer, backlogs, now)
+        self._remove_decided(decisions)
         return decisions
 
     def _review(self, backlogs: list[Backlog], now: float) -> list[Decision]:
-        """Order all requests anew and look at each one."""
-        self.reviewed = now
+        """Sort the whole queue again and examine each request."""
+        self.last_review_at = now
         self.usage.refresh(now, self.plan.throughput)
-        overall = self._overall_part(now)
-        self.order = sorted(
-            Ranked(self._rank(offer, overall, now), offer)
+        overall = self._overall_granted_ratio(now)
+        self.queue = sorted(
+            QueueEntry(self._rank(offer, overall, now), offer)
             for offer in self.waiting.values()
         )
         decisions: list[Decision] = []
-        for entry in self.order[:HEAD]:
-            self._decide_into(decisions, entry.offer, backlogs, now)
-        self._review_tail(decisions, backlogs, now)
-        self._drop_decided(decisions)
+        for entry in self.queue[:QUEUE_HEAD_LENGTH]:
+            self._append_decision(decisions, entry.offer, backlogs, now)
+        self._reject_late_tail(decisions, backlogs, now)
+        self._remove_decided(decisions)
         return decisions
 
-    def _review_tail(
+    def _reject_late_tail(
         self, decisions: list[Decision], backlogs: list[Backlog], now: float
     ) -> None:
-        """Turn away what can't be in time behind the head of the queue.
+        """Reject requests behind the head of the queue that can't be in time.
 
-        For these the pool counts as one endpoint: which one each would get is not
-        known yet, and to work it out for a long queue would take too long.
+        The pool is treated as a single endpoint here: evaluating each endpoint for
+        each request of a long queue would take too long.
         """
-        tail = self.order[HEAD:]
+        tail = self.queue[QUEUE_HEAD_LENGTH:]
         if not tail or not backlogs:
             return
-        able = [item for item in backlogs if not item.spacing] or backlogs
-        speed = self.speed * len(able)
-        places = sum(item.slots for item in able)
-        residence = sum(item.residence for item in able) / len(able)
-        unread = sum(item.unread for item in able)
-        behind = sum(item.running for item in able) - places
+        available = [item for item in backlogs if not item.grant_interval] or backlogs
+        speed = self.speed * len(available)
+        slots = sum(item.slots for item in available)
+        residence = sum(item.residence for item in available) / len(available)
+        prefill_tokens = sum(item.prefill_tokens for item in available)
+        queue_position = sum(item.running for item in available) - slots
         for entry in tail:
             offer = entry.offer
-            behind += 1
-            unread += offer.prompt_tokens - offer.shared_tokens
-            first_in = max(unread / speed, behind * residence / places)
-            if self._is_hopeless(offer, first_in, now):
-                decisions.append(self._turn_away_late(offer, first_in, now))
-
-    def _drop_decided(self, decisions: list[Decision]) -> None:
+            queue_position += 1
+            prefill_tokens += offer.prompt_tokens - offer.shared_prefix_tokens
+            first_token_in = max(
+                prefill_tokens / speed, queue_position * residence / slots
+            )
+            if self._is_too_late(offer, first_token_in, now):
+                decisions.append(self._reject_late(offer, first_token_in, now))
+
+    def _remove_decided(self, decisions: list[Decision]) -> None:
         if not decisions:
             return
         for decision in decisions:
             self.withdraw(decision.call)
-        self.order = [item for item in self.order if item.offer.call in self.waiting]
+        self.queue = [item for item in self.queue if item.offer.call in self.waiting]
 
-    def _decide_into(
+    def _append_decision(
         self,
         decisions: list[Decision],
         offer: Offer,
@@ -449,60 +494,65 @@
 
     def _has_room(self, backlogs: list[Backlog]) -> bool:
         share = self.plan.share
-        return any(has_room(item, SHORT_REQUEST, share) for item in backlogs)
+        return any(has_room(item, SHORT_REQUEST_TOKENS, share) for item in backlogs)
 
     def _decide_one(
         self, offer: Offer, backlogs: list[Backlog], now: float
     ) -> Decision | None:
-        usable = self._usable(offer, backlogs, now)
-        donor = find_donor(offer, backlogs)
-        share = self._share_of(offer)
-        choice = choose(offer, usable, donor, share, now)
-        if choice is None:
-            return self._without_endpoint(offer, backlogs, now)
-        if choice.starts_in <= 0:
-            self._grant(offer, choice, now)
-            choice.backlog.add(choice.unread, choice.memory)
-            named = donor.id if choice.fetched else None
-            admitted = self._admitted(offer, now)
-            return Granted(offer.call, choice.backlog.id, named, admitted=admitted)
-        if self._is_hopeless(offer, choice.first_in, now):
-            return self._turn_away_late(offer, choice.first_in, now)
-        choice.backlog.add(choice.unread, choice.memory)
+        usable = self._usable_backlogs(offer, backlogs, now)
+        donor = find_copy_source(offer, backlogs)
+        share = self._fillable_share(offer)
+        candidate = choose_endpoint(offer, usable, donor, share, now)
+        if candidate is None:
+            return self._decide_without_endpoint(offer, backlogs, now)
+        if candidate.starts_in <= 0:
+            self._grant(offer, candidate, now)
+            candidate.backlog.add(candidate.prefill_tokens, candidate.memory)
+            source_id = donor.id if candidate.copied_tokens else None
+            admitted_fraction = self._admitted_fraction(offer, now)
+            return Granted(
+                offer.call,
+                candidate.backlog.id,
+                source_id,
+                admitted_fraction=admitted_fraction,
+            )
+        if self._is_too_late(offer, candidate.first_token_in, now):
+            return self._reject_late(offer, candidate.first_token_in, now)
+        candidate.backlog.add(candidate.prefill_tokens, candidate.memory)
         return None
 
-    def _share_of(self, offer: Offer) -> float:
-        """Return the part of each endpoint that a request may fill."""
-        if self.usage.is_owed(offer.organisation, offer.share_tokens):
+    def _fillable_share(self, offer: Offer) -> float:
+        """Return the fraction of each endpoint that a request may fill."""
+        if self.usage.is_owed(offer.organisation, offer.charged_tokens):
             return self.plan.share
         return self.plan.share * BEYOND_SHARE_PART
 
     def _backlogs(self, now: float) -> list[Backlog]:
-        lost = {endpoint for _, endpoint in self.unreachable}
+        unreachable_ids = {endpoint for _, endpoint in self.unreachable}
         backlogs = [
-            Backlog.of(load, now, endpoint not in lost)
+            Backlog.of(load, now, endpoint not in unreachable_ids)
             for endpoint, load in self.loads.items()
         ]
         for backlog in backlogs:
-            self._limit_warming(backlog, now)
+            self._limit_warm_up(backlog, now)
         if backlogs:
             self.speed = sum(item.speed for item in backlogs) / len(backlogs)
-            tell_failing_apart(backlogs)
+            compute_excess_failures(backlogs)
         return backlogs
 
-    def _limit_warming(self, backlog: Backlog, now: float) -> None:
-        """Give an endpoint that warms up one request at a time, evenly spaced."""
+    def _limit_warm_up(self, backlog: Backlog, now: float) -> None:
+        """Space out the grants of an endpoint that warms up."""
         rate = self.plan.warm_up_rate
         load = backlog.load
         if rate and load.endpoint.is_warming(now):
-            opens_at = max(load.next_warm_up, self.warming_from)
+            opens_at = max(load.next_warm_up, self.warm_up_allowed_from)
             opens_at = min(opens_at, load.endpoint.warm_at)
-            backlog.warm_up(1 / (WARM_UP_PART * rate), opens_at - now)
+            backlog.warm_up(1 / (WARM_UP_RATE_FRACTION * rate), opens_at - now)
 
-    def _usable(
+    def _usable_backlogs(
         self, offer: Offer, backlogs: list[Backlog], now: float
     ) -> list[Backlog]:
-        usable = [item for item in backlogs if not item.resting]
+        usable = [item for item in backlogs if not item.suspended]
         if offer.allowed is not None:
             usable = [item for item in usable if offer.may_run_in(item.data_centre)]
         if not offer.avoid and not self.unreachable and not offer.rests:
@@ -515,48 +565,49 @@
             and offer.rests.get(item.id, 0.0) <= now
         ]
 
-    def _grant(self, offer: Offer, choice: Choice, now: float) -> None:
-        load = choice.backlog.load
-        active = Active(
+    def _grant(self, offer: Offer, candidate: Candidate, now: float) -> None:
+        load = candidate.backlog.load
+        active = ActiveRequest(
             offer.call,
             offer.router,
-            choice.unread,
-            choice.memory,
+            candidate.prefill_tokens,
+            candidate.memory,
             now,
             now,
             prompt=offer.prompt,
         )
         load.add(active)
         load.prefixes.send(offer.prompt)
-        load.next_warm_up = now + choice.backlog.spacing
-        self.places[offer.call] = load.endpoint.id
-        self.usage.granted(offer.organisation, now, offer.share_tokens)
-        served = self.served[offer.route]
-        served.granted += 1
+        load.next_warm_up = now + candidate.backlog.grant_interval
+        self.placements[offer.call] = load.endpoint.id
+        self.usage.granted(offer.organisation, now, offer.charged_tokens)
+        statistics = self.routes[offer.route]
+        statistics.granted += 1
 
-    def _is_hopeless(self, offer: Offer, first_in: float, now: float) -> bool:
+    def _is_too_late(self, offer: Offer, first_token_in: float, now: float) -> bool:
         if now >= offer.due:
-            patience = (offer.expires - offer.arrived) * LATE_PATIENCE
-            return now - offer.arrived > patience
+            max_wait = (offer.expires - offer.arrived) * LATE_PATIENCE
+            return now - offer.arrived > max_wait
         margin = (offer.due - offer.arrived) * PREDICTION_MARGIN
-        reading = offer.prompt_tokens / self.speed * OWN_READING
-        return now + first_in > offer.due + margin + reading
+        own_prefill = offer.prompt_tokens / self.speed * OWN_READING
+        return now + first_token_in > offer.due + margin + own_prefill
 
-    def _without_endpoint(
+    def _decide_without_endpoint(
         self, offer: Offer, backlogs: list[Backlog], now: float
     ) -> Decision | None:
-        """Wait for an endpoint that rests only if it can still answer in time.
+        """Keep a request waiting only if an endpoint becomes usable in time.
 
-        A caller that is told at once when to come back has the rest of its time left.
+        Otherwise it is rejected at once, so that its caller keeps the remaining time
+        for a retry.
         """
-        usable_at = self._usable_at(offer, backlogs)
+        usable_at = self._earliest_usable_at(offer, backlogs)
         if now < offer.expires and usable_at < offer.due:
             return None
-        rest = max(0.0, usable_at - now) if usable_at < math.inf else 0.0
-        return self._turn_away(offer, "no endpoint to be reached", rest, now)
+        wait = max(0.0, usable_at - now) if usable_at < math.inf else 0.0
+        return self._reject(offer, "no endpoint to be reached", wait, now)
 
-    def _usable_at(self, offer: Offer, backlogs: list[Backlog]) -> float:
-        """Return when the first endpoint may be tried again, infinity for never."""
+    def _earliest_usable_at(self, offer: Offer, backlogs: list[Backlog]) -> float:
+        """Return when the first endpoint becomes usable, infinity for never."""
         return min(
             (
                 max(
@@ -570,86 +621,103 @@
             default=math.inf,
         )
 
-    def _turn_away_late(self, offer: Offer, first_in: float, now: float) -> TurnedAway:
-        """Refuse a request that could not be answered in time."""
-        self.full_until = now + FULL_FOR
-        return self._turn_away(offer, "no answer in time", LATE_RETRY * first_in, now)
-
-    def _turn_away(
-        self, offer: Offer, reason: str, wait: float, now: float
+    def _reject_late(
+        self, offer: Offer, first_token_in: float, now: float
     ) -> TurnedAway:
-        """Refuse, with a time to come back that differs between callers.
+        """Reject a request that could not be answered in time."""
+        self.full_until = now + FULL_DURATION
+        return self._reject(
+            offer, "no answer in time", LATE_RETRY * first_token_in, now
+        )
+
+    def _reject(self, offer: Offer, reason: str, wait: float, now: float) -> TurnedAway:
+        """Reject a request, with a retry delay that is spread between callers.
 
         Parameters
         ----------
+        offer : Offer
+            The request.
+        reason : str
+            Reason reported to the caller.
         wait : float
-            Seconds before which coming back does not help.
+            Seconds before which a retry does not help.
+        now : float
+            Monotonic seconds.
         """
         draw = xxhash.xxh3_64_intdigest(offer.call.encode()) % 1000 / 1000
-        wanted = max(LEAST_RETRY, wait) * (0.75 + 0.5 * draw)
-        longest = max(LEAST_RETRY, (offer.expires - now) * RETRY_PART)
-        retry_after = min(wanted, longest, MOST_RETRY)
-        keeper = self._keeper_of(offer, now)
-        admitted = self._admitted(offer, now)
-        return TurnedAway(offer.call, reason, retry_after, keeper, admitted=admitted)
-
-    def _admitted(self, offer: Offer, now: float) -> float:
-        """Return the part of such requests that may be offered to a pool that is full.
-
-        All where others are less urgent, since these wait for them, and all while
-        there is time to choose among them.
+        wanted = max(MIN_RETRY_AFTER, wait) * (0.75 + 0.5 * draw)
+        longest = max(MIN_RETRY_AFTER, (offer.expires - now) * RETRY_PART)
+        retry_after = min(wanted, longest, MAX_RETRY_AFTER)
+        holder = self._find_prefix_holder(offer, now)
+        admitted_fraction = self._admitted_fraction(offer, now)
+        return TurnedAway(
+            offer.call, reason, retry_after, holder, admitted_fraction=admitted_fraction
+        )
+
+    def _admitted_fraction(self, offer: Offer, now: float) -> float:
+        """Return the fraction of similar requests that may be offered to a full pool.
+
+        It is 1 where less urgent requests exist, since these wait instead, and 1
+        while this router has time to examine all offers.
         """
-        if not self.hurried or now >= self.full_until:
+        if not self.overloaded or now >= self.full_until:
             return 1.0
         if offer.priority < self.least_urgent:
             return 1.0
         return self.usage.admitted_part(offer.organisation)
 
-    def _keeper_of(self, offer: Offer, now: float) -> EndpointId | None:
-        """Return the engine that others may copy a prompt's beginning from, if any."""
-        if offer.shared_tokens < LEAST_FETCHED:
+    def _find_prefix_holder(self, offer: Offer, now: float) -> EndpointId | None:
+        """Return the engine with the longest prefix that can be copied, if any."""
+        if offer.shared_prefix_tokens < LEAST_FETCHED:
             return None
-        lost = {endpoint for _, endpoint in self.unreachable}
-        most, keeper = LEAST_FETCHED - 1, None
+        unreachable_ids = {endpoint for _, endpoint in self.unreachable}
+        longest, holder = LEAST_FETCHED - 1, None
         for name, load in self.loads.items():
             present = load.prefixes.present(offer.prompt)
-            if present > most and Backlog.of(load, now, name not in lost).may_donate:
-                most, keeper = present, name
-        return keeper
-
-    # Order
-
-    def _overall_part(self, now: float) -> float:
+            if (
+                present > longest
+                and Backlog.of(
+                    load, now, name not in unreachable_ids
+                ).can_be_copied_from
+            ):
+                longest, holder = present, name
+        return holder
+
+    # Queue order
+
+    def _overall_granted_ratio(self, now: float) -> float:
         offered = granted = 0.0
-        for served in self.served.values():
-            served.fade(now)
-            offered += served.offered
-            granted += served.granted
+        for statistics in self.routes.values():
+            statistics.decay(now)
+            offered += statistics.offered
+            granted += statistics.granted
         return granted / offered if offered else 1.0
 
     def _rank(self, offer: Offer, overall: float, now: float) -> Rank:
-        owed = self.usage.is_owed(offer.organisation, offer.share_tokens)
+        within_share = self.usage.is_owed(offer.organisation, offer.charged_tokens)
         late = now >= offer.due
-        enough = self.served[offer.route].part() >= LEAST_SERVED * overall
+        route_not_behind = (
+            self.routes[offer.route].granted_ratio() >= LEAST_SERVED * overall
+        )
         return Rank(
-            enough=not self.usage.is_behind(offer.organisation),
-            beyond_share=not owed,
+            organisation_not_behind=not self.usage.is_behind(offer.organisation),
+            beyond_share=not within_share,
             late=late,
             priority=offer.priority,
-            kind_enough=enough,
-            lightness=-offer.density,
+            route_not_behind=route_not_behind,
+            negated_density=-offer.value_density,
             due=offer.due,
         )
 
-    def _density(self, offer: Offer) -> int:
-        """Return what an answer is worth for the engine's time that it takes.
+    def _value_density(self, offer: Offer) -> int:
+        """Return the value of the answer per engine time, as a power of two.
 
-        Both are rough, so only the power of two counts: what is within a factor of
-        two goes by its objective.
+        Value and cost are estimates, so only the power of two counts: requests within
+        a factor of two are ordered by when they are due.
         """
         kept = max(
             (load.prefixes.kept(offer.prompt) for load in self.loads.values()),
             default=0,
         )
-        cost = offer.prompt_tokens - kept + GENERATED_WEIGHT * offer.output_tokens
-        return math.floor(math.log2((offer.worth + 1) / (cost + FIXED_COST)))
+        cost = offer.prompt_tokens - kept + OUTPUT_TOKEN_WEIGHT * offer.output_tokens
+        return math.floor(math.log2((offer.answer_value + 1) / (cost + FIXED_COST)))
--- a/carawayfold/coordination/scheduling/tallies.py
+++ b/carawayfold/coordination/scheduling/tallies.py
@@ -1,4 +1,4 @@
-"""Tells once a second what a router decided for each pool, and how late it was."""
+"""Statistics of scheduling decisions by pool, logged once a second."""
 
 from __future__ import annotations
 
@@ -14,89 +14,96 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds that a line covers.
-INTERVAL = 1.0
-#: Organisations in a line, those that asked for most.
-NAMED = 3
+#: Seconds between log lines on a pool.
+LOG_INTERVAL = 1.0
+#: Maximum organisations in a log line, those that requested most.
+MAX_NAMED_ORGANISATIONS = 3
 
 
-class Tally(msgspec.Struct):
-    """What a router did for one pool since the last line.
+class PoolStatistics(msgspec.Struct):
+    """Counts of one pool since the last log line.
 
     Attributes
     ----------
-    offers, again, withdrawn : int
-        Requests offered, offers of those that were known already, and withdrawals.
-    granted, turned_away : int
+    offers, repeated, withdrawn : int
+        Requests offered, repeated offers of queued requests, and withdrawals.
+    granted, rejected : int
         Decisions.
-    held_back : int
-        Requests of callers here that were not offered, see `HeldBack`.
+    throttled : int
+        Requests of this router's callers that were not offered, see
+        `AdmissionControl`.
     rounds : int
         Rounds of decisions.
-    spent : float
-        Seconds that they took.
-    latest : float
-        Most seconds by which a round was late.
+    time_spent : float
+        Seconds spent in these rounds.
+    max_delay : float
+        Maximum seconds by which a round started late.
     """
 
     offers: int = 0
-    again: int = 0
+    repeated: int = 0
     withdrawn: int = 0
     granted: int = 0
-    turned_away: int = 0
-    held_back: int = 0
+    rejected: int = 0
+    throttled: int = 0
     rounds: int = 0
-    spent: float = 0.0
-    latest: float = 0.0
+    time_spent: float = 0.0
+    max_delay: float = 0.0
 
 
-class Tallies:
-    """Tallies of all pools.
+class SchedulingStatistics:
+    """Statistics of all pools.
 
     Attributes
     ----------
+    pools : dict
+        Statistics of each pool.
     alone : int
-        Requests granted here since the start for pools that this router does not
-        lead.
+        Requests granted here since the process started for pools that this router
+        doesn't lead.
     unknown : int
-        Offers for pools that this router doesn't have, since the last lines.
+        Offers for pools that this router doesn't have, since the last log lines.
+    since : float
+        Loop time of the last log lines.
     """
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.pools: dict[PoolId, Tally] = {}
+        self.pools: dict[PoolId, PoolStatistics] = {}
         self.alone = 0
         self.unknown = 0
         self.since = self.loop.time()
 
-    def of(self, pool: PoolId) -> Tally:
-        """Return the tally of a pool."""
-        tally = self.pools.get(pool)
-        if tally is None:
-            tally = self.pools[pool] = Tally()
-        return tally
+    def of(self, pool: PoolId) -> PoolStatistics:
+        """Return the statistics of a pool."""
+        statistics = self.pools.get(pool)
+        if statistics is None:
+            statistics = self.pools[pool] = PoolStatistics()
+        return statistics
 
     def is_due(self) -> bool:
-        """Return whether it is time for lines."""
-        return self.loop.time() - self.since >= INTERVAL
+        """Return whether log lines are due."""
+        return self.loop.time() - self.since >= LOG_INTERVAL
 
-    def write(self, accounts: dict[PoolId, UsageBook], led: set[PoolId]) -> None:
-        """Write a line on each pool for which anything was asked.
+    def write(self, accounts: dict[PoolId, UsageBook], leading: set[PoolId]) -> None:
+        """Log a line on each pool with activity, and reset the counts.
 
         Parameters
         ----------
         accounts : dict
-            What organisations asked for and got, by pool.
+            Usage of organisations, by pool.
         led : set of PoolId
-            Pools for which this router decides for the fleet.
+            Pools of which this router is the leader.
         """
-        covered = self.loop.time() - self.since
-        for pool, tally in self.pools.items():
+        seconds = self.loop.time() - self.since
+        for pool, statistics in self.pools.items():
             if pool in accounts:
-                self._write_one(pool, tally, accounts[pool], pool in led, covered)
+                self._write_one(
+                    pool, statistics, accounts[pool], pool in leading, seconds
+                )
         if self.unknown:
-            extra = {"offers": self.unknown, "seconds": round(covered, 2)}
-            logger.info("offered unknown pools", extra=extra)
+            extra = {"offers": self.unknown, "seconds": round(seconds, 2)}
+            logger.info("offers received for unknown pools", extra=extra)
         self.unknown = 0
         self.pools.clear()
         self.since = self.loop.time()
@@ -104,29 +111,31 @@
     def _write_one(
         self,
         pool: PoolId,
-        tally: Tally,
+        statistics: PoolStatistics,
         account: UsageBook,
         leads: bool,
-        covered: float,
+        seconds: float,
     ) -> None:
         logger.info(
             "pool decided",
             extra={
                 "pool": pool,
                 "leads": leads,
-                "seconds": round(covered, 2),
-                "offers": tally.offers,
-                "again": tally.again,
-                "withdrawn": tally.withdrawn,
-                "granted": tally.granted,
-                "turned_away": tally.turned_away,
-                "held_back": tally.held_back,
-                "rounds": tally.rounds,
-                "spent_ms": round(tally.spent * 1000, 1),
-                "late_ms": round(tally.latest * 1000, 1),
+                "seconds": round(seconds, 2),
+                "offers": statistics.offers,
+                "again": statistics.repeated,
+                "withdrawn": statistics.withdrawn,
+                "granted": statistics.granted,
+                "turned_away": statistics.rejected,
+                "held_back": statistics.throttled,
+                "rounds": statistics.rounds,
+                "spent_ms": round(statistics.time_spent * 1000, 1),
+                "late_ms": round(statistics.max_delay * 1000, 1),
                 "organisations": [
                     [name, round(asked), round(granted)]
-                    for name, asked, granted in account.most_asked(NAMED)
+                    for name, asked, granted in account.most_asked(
+                        MAX_NAMED_ORGANISATIONS
+                    )
                 ],
             },
         )
--- a/carawayfold/coordination/scheduling/tickets.py
+++ b/carawayfold/coordination/scheduling/tickets.py
@@ -1,4 +1,4 @@
-"""What a desk keeps of requests that wait or run, and of the pools."""
+"""State of pending requests, active requests and pools at a router."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from carawayfold.coordination.scheduling.endpoint_load import Active
+from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
 from carawayfold.state.ids import EndpointId, PoolId
 
 if TYPE_CHECKING:
@@ -16,26 +16,32 @@
     from carawayfold.coordination.scheduling.scheduler import Scheduler
     from carawayfold.protocol.exchanges import Part
 
-#: Seconds after which a router that begins to decide for a pool gives requests to
-#: endpoints that warm up: what they got before counts by the second.
-TAKEOVER_PAUSE = 1.0
+#: Seconds after which a new leader of a pool starts to grant endpoints that warm up.
+#: Their limit is per second, and the grants of the previous leader are not known.
+TAKEOVER_DELAY = 1.0
 
 
-class Ticket(msgspec.Struct, eq=False):
-    """A request that waits for a decision, or has one.
+class PendingRequest(msgspec.Struct, eq=False):
+    """A request that waits for a decision, or has just received one.
 
     Attributes
     ----------
+    offer : Offer
+        The request.
+    pool : PoolId
+        Pool to which it is offered.
     answered : asyncio.Future
         Resolved with the decision.
     asked_at : float
-        Loop time of the first offer to the scheduler that is asked.
+        Loop time of the first offer to the current scheduler.
     unanswered : int
         Offers sent since the scheduler last answered.
     queued : bool
-        Whether the scheduler has said that it will decide.
+        Whether the scheduler has confirmed that the request is queued.
     local : bool
-        Whether this router decides.
+        Whether this router's scheduler decides.
+    timer : asyncio.TimerHandle or None
+        Timer of the next offer.
     """
 
     offer: Offer
@@ -48,31 +54,44 @@
     timer: asyncio.TimerHandle | None = None
 
 
-class Placed(msgspec.Struct, eq=False):
-    """A request that this router has at an endpoint."""
+class PlacedRequest(msgspec.Struct, eq=False):
+    """A request of this router that is active at an endpoint."""
 
     pool: PoolId
-    active: Active
+    active: ActiveRequest
     endpoint: EndpointId
     prompt: tuple[Part, ...]
 
 
-class PoolDesk(msgspec.Struct, eq=False):
-    """One pool, and this router's scheduler for it."""
+class PoolState(msgspec.Struct, eq=False):
+    """One pool and this router's scheduler for it.
+
+    Attributes
+    ----------
+    id : PoolId
+        The pool.
+    scheduler : Scheduler
+        Its scheduler at this router.
+    decision_timer : asyncio.TimerHandle or None
+        Timer of the next round of decisions.
+    leads : bool
+        Whether this router is the leader of the pool.
+    """
 
     id: PoolId
     scheduler: Scheduler
-    due: asyncio.TimerHandle | None = None
+    decision_timer: asyncio.TimerHandle | None = None
     leads: bool = False
 
-    def lead(self, leads: bool, now: float) -> None:
-        """Note whether this router decides for the fleet.
+    def set_leading(self, leads: bool, now: float) -> None:
+        """Set whether this router is the leader of the pool.
 
-        One that has just begun does not know what endpoints that warm up got of the
-        one before, and one that stands in does not know what others give them.
+        A new leader doesn't know the recent grants of its predecessor to endpoints
+        that warm up, and a router that decides without leading doesn't know those of
+        other routers.
         """
         if not leads:
-            self.scheduler.warming_from = math.inf
+            self.scheduler.warm_up_allowed_from = math.inf
         elif not self.leads:
-            self.scheduler.warming_from = now + TAKEOVER_PAUSE
+            self.scheduler.warm_up_allowed_from = now + TAKEOVER_DELAY
         self.leads = leads
--- a/carawayfold/protocol/datagrams.py
+++ b/carawayfold/protocol/datagrams.py
@@ -1,4 +1,7 @@
-"""Datagrams between routers: several messages each, all safe to lose or repeat."""
+"""Datagrams between routers.
+
+A datagram holds several messages. Any of them may be lost or delivered twice.
+"""
 
 from __future__ import annotations
 
@@ -17,44 +20,47 @@
     RouterId,
 )
 
-#: Most bytes of a datagram, so that it fits one packet of usual networks.
+#: Maximum bytes of a datagram, so that it fits one packet of common networks.
 SIZE_LIMIT = 1400
 
 
 class Beat(msgspec.Struct, array_like=True, tag=1, frozen=True):
-    """A router is there.
+    """Heartbeat of a router.
 
     Attributes
     ----------
+    data_centre : DataCentreId
+        Data centre of the router.
     stopping : bool
-        Whether it takes no new work.
+        Whether it accepts no new work.
     version : int
-        Configuration in force at it; 0 for none.
+        Version of its configuration; 0 for none.
     endpoints_offset : Position
-        How far it has read registrations of endpoints.
+        Position up to which it has read registrations of endpoints.
     store_age : int
-        Milliseconds since it knew all registrations, from the store or from a peer.
+        Milliseconds since its registrations were last complete, read from the store
+        or from a peer.
     processor : int
-        What its processor can do, in hundredths of a usual core.
+        Capacity of its processor, in hundredths of a reference core.
     hub : bool
-        Whether others meet at it and it decides for them.
+        Whether it is a hub, to which other routers connect and which leads pools.
     size : int
-        Routers that it knows of, itself included; 0 where it does not say.
+        Routers that it knows, itself included; 0 if not stated.
     roster : int
-        Fingerprint of the hubs that it knows, for the hub that tells it about them;
-        0 for others.
+        Checksum of the hubs that it knows, sent to the hub that keeps its roster up to
+        date; 0 for other receivers.
     verdicts : int
         Checksum of the verdicts on contents that it knows; 0 for none.
     refused : bool
         Whether the store did not answer its last call.
     evacuations_changed : Position
-        Where the last word stands that changed which data centres are evacuated, as
-        far as it knows.
+        Position of the last record it knows that changed which data centres are
+        evacuated.
     operators_age : int
-        Milliseconds since it knew all of the operators' words, from the store or from
-        a peer.
+        Milliseconds since its records of the operators' commands were last complete,
+        read from the store or from a peer.
     late : bool
-        Whether it can't keep up with its work, so that others should decide.
+        Whether it is overloaded, so that other routers should lead its pools.
     """
 
     data_centre: DataCentreId
@@ -74,17 +80,38 @@
 
 
 class OfferMessage(msgspec.Struct, array_like=True, tag=2, frozen=True):
-    """A request wants an endpoint; times are milliseconds from now.
+    """Offer of a request to the scheduler of a pool.
 
     Attributes
     ----------
+    pool : PoolId
+        The pool.
+    call : CallId
+        The request.
+    organisation : OrganisationId
+        Organisation of its caller.
+    route : RouteId
+        Its route.
+    priority : int
+        Its priority; lower numbers are more urgent.
+    prompt : list of tuple
+        Parts of its prompt, each with its tokens.
+    prompt_tokens, output_tokens : int
+        Tokens of the prompt, and estimated tokens of the answer.
+    due, expires : int
+        Milliseconds from now until the answer is due and until its caller gives up.
+    avoid : list of EndpointId
+        Endpoints that were tried already.
+    cached_at : EndpointId or None
+        Endpoint to which its router last sent the same prefix.
+    data_centre : DataCentreId
+        Data centre of its router.
     allowed : list of DataCentreId
-        Those in which it may run; empty for any.
-    rests : list
-        Endpoints that want nothing from its router, and for how long.
-    held_back : int
-        Tokens that its organisation asked for and the router held back since the
-        offer before.
+        Data centres in which it may run; empty for any.
+    rests : list of tuple
+        Endpoints that asked its router for a pause, each with the milliseconds left.
+    throttled_tokens : int
+        Tokens of its organisation that the router throttled since the previous offer.
     """
 
     pool: PoolId
@@ -102,33 +129,39 @@
     data_centre: DataCentreId = DataCentreId("")
     allowed: list[DataCentreId] = []
     rests: list[tuple[EndpointId, int]] = []
-    held_back: int = 0
+    throttled_tokens: int = 0
 
 
 class WithdrawMessage(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """A request no longer wants an endpoint of the pool."""
+    """Withdrawal of a request from a pool."""
 
     pool: PoolId
     call: CallId
 
 
-class WaitMessage(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """The scheduler has a request and will decide."""
+class QueuedMessage(msgspec.Struct, array_like=True, tag=4, frozen=True):
+    """Confirmation that a request is queued at the scheduler."""
 
     call: CallId
 
 
 class GrantMessage(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A request may go to an endpoint, which copies kept memory from `donor`.
+    """Grant of an endpoint to a request.
 
     Attributes
     ----------
+    call : CallId
+        The request.
+    endpoint : EndpointId
+        The endpoint.
+    copy_source : EndpointId or None
+        Engine from which the endpoint copies the cached prefix of the prompt.
     offset : Position
-        How far the sender has read registrations of endpoints.
+        Position up to which the sender has read registrations of endpoints.
     age : int
-        Milliseconds since it knew all that the store knew.
-    admitted : int
-        Thousandths of its organisation's requests to be offered to the pool.
+        Milliseconds since its registrations were last complete.
+    admitted_fraction : int
+        Thousandths of its organisation's requests that may be offered to the pool.
     """
 
     call: CallId
@@ -136,29 +169,45 @@
     donor: EndpointId | None = None
     offset: Position = Position(0)
     age: int = 0
-    admitted: int = 1000
+    admitted_fraction: int = 1000
 
 
-class TurnAwayMessage(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """A request can't be served in time; come back after so many milliseconds.
+class RejectMessage(msgspec.Struct, array_like=True, tag=6, frozen=True):
+    """Rejection of a request that can't be served in time.
 
     Attributes
     ----------
-    kept_at : EndpointId or None
-        An engine of the pool that keeps the beginning of its prompt.
-    admitted : int
-        Thousandths of its organisation's requests to be offered to the pool.
+    call : CallId
+        The request.
+    reason : str
+        Reason reported to the caller.
+    retry_after : int
+        Milliseconds after which a retry is useful.
+    cached_at : EndpointId or None
+        Engine of the pool that has the beginning of its prompt cached.
+    admitted_fraction : int
+        Thousandths of its organisation's requests that may be offered to the pool.
     """
 
     call: CallId
     reason: str
     retry_after: int
     kept_at: EndpointId | None = None
-    admitted: int = 1000
+    admitted_fraction: int = 1000
+
 
+class FirstByteMessage(msgspec.Struct, array_like=True, tag=7, frozen=True):
+    """First byte of the answer to a request.
 
-class BegunMessage(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """A request's first byte came so many milliseconds after it was sent."""
+    Attributes
+    ----------
+    pool : PoolId
+        The pool.
+    call : CallId
+        The request.
+    waited : int
+        Milliseconds from sending the request to the first byte.
+    """
 
     pool: PoolId
     call: CallId
@@ -166,7 +215,7 @@
 
 
 class EndedMessage(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """An attempt at an endpoint ended."""
+    """End of an attempt at an endpoint."""
 
     pool: PoolId
     call: CallId
@@ -174,24 +223,38 @@
 
 
 class Held(msgspec.Struct, array_like=True, frozen=True):
-    """One request at an endpoint, as its router knows it."""
+    """One request that its router has in flight at an endpoint.
+
+    Attributes
+    ----------
+    call : CallId
+        The request.
+    endpoint : EndpointId
+        The endpoint.
+    prefill_tokens : int
+        Tokens that the engine has to prefill for it.
+    memory : int
+        Tokens of memory that it takes.
+    begun : bool
+        Whether its first byte has been received.
+    """
 
     call: CallId
     endpoint: EndpointId
-    unread: int
+    prefill_tokens: int
     memory: int
     begun: bool
 
 
 class HoldingMessage(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """Some of the requests that a router has at a pool's endpoints."""
+    """Some of the requests that a router has in flight at a pool's endpoints."""
 
     pool: PoolId
     held: list[Held]
 
 
 class HubEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One hub, as another one knows it; see `Beat`."""
+    """State of one hub at another one; see `Heartbeat`."""
 
     router: RouterId
     host: str
@@ -202,23 +265,31 @@
 
 
 class RosterMessage(msgspec.Struct, array_like=True, tag=10, frozen=True):
-    """The hubs of one data centre that take new work; those not named are none."""
+    """All hubs of one data centre that accept new work."""
 
     data_centre: DataCentreId
     hubs: list[HubEntry]
 
 
 class CrashMessage(msgspec.Struct, array_like=True, tag=11, frozen=True):
-    """An endpoint went away while it had a content, so many milliseconds ago.
+    """Crash of an endpoint while it processed a content.
 
     Attributes
     ----------
+    content : ContentId
+        The content.
+    organisation : OrganisationId
+        Organisation that sent it.
+    endpoint : EndpointId
+        The endpoint.
+    age : int
+        Milliseconds since the crash.
     refused : bool
-        Whether it took no new connection right after.
+        Whether it refused new connections right after.
     begun : bool
         Whether the answer had begun by then.
     lasted : int or None
-        Milliseconds for which it had the content; None where that is not known.
+        Milliseconds for which it had processed the content; None if not known.
     """
 
     content: ContentId
@@ -231,7 +302,7 @@
 
 
 class RanWellMessage(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """A suspected content ran without harm, so many milliseconds ago."""
+    """Completion of a suspected content without a crash, `age` milliseconds ago."""
 
     content: ContentId
     organisation: OrganisationId
@@ -239,32 +310,33 @@
 
 
 class LostMessage(msgspec.Struct, array_like=True, tag=14, frozen=True):
-    """An endpoint has ended: it takes no connections and has lost those it had."""
+    """Failure of an endpoint: it accepts no connections and has dropped its own."""
 
     endpoint: EndpointId
 
 
 class LeavingMessage(msgspec.Struct, array_like=True, tag=15, frozen=True):
-    """Endpoints have said in answers that they leave."""
+    """Endpoints that have announced in answers that they leave."""
 
     endpoints: list[EndpointId]
 
 
 class LeavingDigest(msgspec.Struct, array_like=True, tag=16, frozen=True):
-    """Checksum of the endpoints that have said so, as far as known; 0 for none."""
+    """Checksum of the endpoints known to have announced that; 0 for none."""
 
     checksum: int
 
 
 class VerdictMessage(msgspec.Struct, array_like=True, tag=13, frozen=True):
-    """A verdict on a content; see `carawayfold.state.quarantine.Entry`.
+    """Verdict on a content; see `carawayfold.state.quarantine.Entry`.
 
     Attributes
     ----------
     since : int
         Milliseconds since the first crash that counts.
     held, remembered : int
-        Milliseconds from now for which it is refused, and known.
+        Milliseconds from now for which the content is rejected, and for which the
+        verdict is kept.
     """
 
     content: ContentId
@@ -281,10 +353,10 @@
     Beat
     | OfferMessage
     | WithdrawMessage
-    | WaitMessage
+    | QueuedMessage
     | GrantMessage
-    | TurnAwayMessage
-    | BegunMessage
+    | RejectMessage
+    | FirstByteMessage
     | EndedMessage
     | HoldingMessage
     | RosterMessage
@@ -298,12 +370,16 @@
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
-    """What one router tells another at once.
+    """One or more messages from one router to another.
 
     Attributes
     ----------
+    sender : RouterId
+        Router that sent it.
     incarnation : int
-        Random per process start of the sender.
+        Random number of the sender's process, new at each start.
+    messages : list of Message
+        The messages.
     """
 
     sender: RouterId
@@ -321,11 +397,11 @@
 
 
 def decode(data: bytes) -> Datagram:
-    """Return the datagram that `data` holds.
+    """Return the datagram encoded in `data`.
 
     Raises
     ------
     msgspec.MsgspecError
-        If it holds none.
+        If `data` is not a valid datagram.
     """
     return decoder.decode(data)
--- a/tests/coordination/scheduling/test_account.py
+++ b/tests/coordination/scheduling/test_account.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from carawayfold.coordination.scheduling.held_back import HeldBack
+from carawayfold.coordination.scheduling.held_back import AdmissionControl
 from carawayfold.coordination.scheduling.offers import Granted, Outcome
 from tests.schedule_builders import offer, scheduler
 
@@ -26,10 +26,10 @@
 
     def __init__(self, spread, lost, late):
         self.made = scheduler(endpoints=2, slots=4, throughput=100_000)
-        self.made.hurried = True
+        self.made.overloaded = True
         self.spread = spread
         self.held = {
-            (name, number): HeldBack()
+            (name, number): AdmissionControl()
             for name, count in spread.items()
             for number in range(count)
         }
@@ -57,9 +57,9 @@
                 held = self.held[name, number % count]
                 call = f"{name}-{number % count}.0.{step}-{number}"
                 wants = offer(call, name, now=now, organisation=name, due=now + 0.3)
-                if held.refuse(wants, POOL, now) is not None:
+                if held.reject(wants, POOL, now) is not None:
                     continue
-                wants.held_back = held.take_tokens(wants, POOL)
+                wants.throttled_tokens = held.take_throttled_tokens(wants, POOL)
                 if (step * 7 + number) % 20 in self.lost:
                     continue
                 self.waiting[call] = wants, held
@@ -69,7 +69,7 @@
         for decision in self.made.decide(now):
             wants, held = self.waiting.pop(decision.call)
             if (step * 3) % 20 not in self.lost:
-                held.take(wants, POOL, decision, "decider", now)
+                held.record_decision(wants, POOL, decision, "decider", now)
             if isinstance(decision, Granted):
                 self.made.begun(decision.call, 0.02)
                 self.ends.append((decision.call, now + RUNNING))
