--- a/tests/coordination/scheduling/test_desk.py
+++ b/tests/coordination/scheduling/test_desk.py
@@ -15,11 +15,11 @@
 from carawayfold.coordination.fleet.suspects import Suspects
 from carawayfold.coordination.scheduling.desk import (
     HOLDING_INTERVAL,
-    OFFER_WAITS,
+    OFFER_RETRY_INTERVALS,
     Desk,
 )
 from carawayfold.coordination.scheduling.division import POOL_SIZE
-from carawayfold.coordination.scheduling.endpoint_load import Active
+from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
 from carawayfold.coordination.scheduling.offers import (
     UNKNOWN_POOL,
     Bar,
@@ -29,7 +29,7 @@
     TurnedAway,
 )
 from carawayfold.coordination.scheduling.scheduler import Scheduler
-from carawayfold.coordination.scheduling.tickets import TAKEOVER_PAUSE, PoolDesk
+from carawayfold.coordination.scheduling.tickets import TAKEOVER_DELAY, PoolState
 from carawayfold.protocol.datagrams import Datagram, GrantMessage, decode, encode
 from carawayfold.protocol.exchanges import Part
 from carawayfold.state.endpoints import EndpointTable
@@ -209,7 +209,7 @@
         placing = asyncio.ensure_future(
             made[asking].place(request(made[asking], "x"), "model/0")
         )
-        await asyncio.sleep(sum(OFFER_WAITS[:-2]) + 0.05)
+        await asyncio.sleep(sum(OFFER_RETRY_INTERVALS[:-2]) + 0.05)
         wire.cut.clear()
         await placing
         return first in fleet.suspects.until
@@ -228,11 +228,11 @@
         placing = asyncio.ensure_future(
             made[asking].place(request(made[asking], "x"), "model/0")
         )
-        await asyncio.sleep(sum(OFFER_WAITS) - 0.05)
+        await asyncio.sleep(sum(OFFER_RETRY_INTERVALS) - 0.05)
         placing.cancel()
         return wire.sent
 
-    assert simulate(work) == len(OFFER_WAITS)
+    assert simulate(work) == len(OFFER_RETRY_INTERVALS)
 
 
 def test_a_late_answer_of_the_one_passed_over_frees_the_place_at_the_next():
@@ -329,7 +329,9 @@
         load.residence = 100.0
         for number in range(load.endpoint.slots):
             call = f"b.0.{name}-{number}"
-            scheduler.holds(name, Active(call, "b", 0, 1, now, now, begun=True))
+            scheduler.record_active(
+                name, ActiveRequest(call, "b", 0, 1, now, now, begun=True)
+            )
 
 
 def test_a_request_that_its_pool_cannot_serve_in_time_goes_to_another_one():
@@ -361,7 +363,9 @@
         keeper = next(iter(desk.pools[own].scheduler.loads))
         for each in made.values():
             fill(each, own)
-            each.pools[own].scheduler.learn_kept(keeper, [Part("t-x", 5000)])
+            each.pools[own].scheduler.record_cached_prefixes(
+                keeper, [Part("t-x", 5000)]
+            )
         decision = await desk.place_in_any(asked, "model")
         return decision.donor == keeper
 
@@ -406,7 +410,7 @@
         old = desk.endpoints[decision.endpoint]
         gone = restart(desk, table, "e-0", 2000)
         (load,) = scheduler.loads.values()
-        desk.tell_held()
+        desk.report_active()
         assert gone == [old]
         assert desk.is_over(old)
         assert not desk.is_over(load.endpoint)
@@ -414,7 +418,7 @@
         return (
             load.prefixes.kept(asked.prompt),
             len(load.active),
-            load.failing,
+            load.failure_ratio,
             load.suspended_until,
         )
 
@@ -533,13 +537,13 @@
 
 
 def test_a_router_that_begins_to_decide_waits_before_it_gives_to_what_warms_up():
-    desk = PoolDesk("model/0", Scheduler(4.0))
-    desk.lead(False, 10.0)
-    assert desk.scheduler.warming_from == math.inf
-    desk.lead(True, 20.0)
-    assert desk.scheduler.warming_from == 20.0 + TAKEOVER_PAUSE
-    desk.lead(True, 30.0)
-    assert desk.scheduler.warming_from == 20.0 + TAKEOVER_PAUSE
+    desk = PoolState("model/0", Scheduler(4.0))
+    desk.set_leading(False, 10.0)
+    assert desk.scheduler.warm_up_allowed_from == math.inf
+    desk.set_leading(True, 20.0)
+    assert desk.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
+    desk.set_leading(True, 30.0)
+    assert desk.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
 
 
 def test_requests_kept_to_data_centres_go_to_pools_that_have_them():
@@ -653,7 +657,7 @@
 
             desk.take = note
         asked = asyncio.ensure_future(asking.place(request(asking, "x"), "model/1"))
-        await asyncio.sleep(OFFER_WAITS[0] / 2)
+        await asyncio.sleep(OFFER_RETRY_INTERVALS[0] / 2)
         asked.cancel()
         return (first, asking.fleet.own.router) in answered
 
--- a/tests/coordination/scheduling/test_division.py
+++ b/tests/coordination/scheduling/test_division.py
@@ -10,7 +10,7 @@
 from carawayfold.coordination.scheduling import division as division_module
 from carawayfold.coordination.scheduling.division import (
     POOL_SIZE,
-    Division,
+    PoolAssignment,
     choose,
     choose_further,
 )
@@ -20,20 +20,20 @@
 
 def places(count):
     """Return the pool of each of `count` endpoints."""
-    return pools_by(Division(), range(count))
+    return pools_by(PoolAssignment(), range(count))
 
 
 def pools_by(division, numbers):
     """Return the pool that a division gives each of some endpoints."""
-    pools = division.divide([endpoint(f"e-{number}") for number in numbers])
+    pools = division.assign([endpoint(f"e-{number}") for number in numbers])
     return {item.id: number for number, pool in enumerate(pools) for item in pool}
 
 
 @given(st.lists(st.sets(st.integers(0, 120), max_size=100), max_size=6))
 def test_what_is_remembered_of_earlier_divisions_changes_no_pool(fleets):
-    division = Division()
+    division = PoolAssignment()
     for numbers in fleets:
-        assert pools_by(division, numbers) == pools_by(Division(), numbers)
+        assert pools_by(division, numbers) == pools_by(PoolAssignment(), numbers)
 
 
 def test_a_change_of_one_endpoint_costs_no_draws_for_the_others(monkeypatch):
@@ -44,7 +44,7 @@
         return len(text)
 
     monkeypatch.setattr(division_module, "_hash", draw)
-    division = Division()
+    division = PoolAssignment()
     pools_by(division, range(5 * POOL_SIZE - 1))
     drawn.clear()
     pools_by(division, range(5 * POOL_SIZE))
--- a/tests/coordination/scheduling/test_scheduler.py
+++ b/tests/coordination/scheduling/test_scheduler.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from carawayfold.coordination.scheduling.endpoint_load import Active
+from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
 from carawayfold.coordination.scheduling.offers import Granted, Outcome, TurnedAway
 from carawayfold.coordination.scheduling.scheduler import (
-    HEAD,
+    QUEUE_HEAD_LENGTH,
     REVIEW_INTERVAL,
     PoolPlan,
     Scheduler,
@@ -28,7 +28,7 @@
     return {item.call: item.endpoint for item in decisions if isinstance(item, Granted)}
 
 
-def turned_away(decisions):
+def rejected(decisions):
     return {item.call: item for item in decisions if isinstance(item, TurnedAway)}
 
 
@@ -51,24 +51,26 @@
         assert again[call] == first["r.0.1"]
 
 
-def busy_keeper(unread):
+def busy_keeper(prefill_tokens):
     """Return two engines: e-0 is about to read a topic of 5,000 tokens.
 
     Until it has, no other engine can copy the topic from it.
     """
     pool = scheduler(endpoints=2)
     pool.loads["e-0"].prefixes.send([Part("topic", 5000)])
-    pool.holds("e-0", Active("r.0.0", "r", unread, unread, 1.0, 1.0))
+    pool.record_active(
+        "e-0", ActiveRequest("r.0.0", "r", prefill_tokens, prefill_tokens, 1.0, 1.0)
+    )
     return pool
 
 
 def test_a_request_waits_for_the_engine_that_keeps_its_prefix():
-    pool = busy_keeper(unread=40_000)
+    pool = busy_keeper(prefill_tokens=40_000)
     assert granted(decide(pool, 1.0, offer("r.0.1", "topic", 5000, now=1.0))) == {}
 
 
 def test_a_request_that_would_be_late_there_goes_to_an_idle_engine():
-    pool = busy_keeper(unread=200_000)
+    pool = busy_keeper(prefill_tokens=200_000)
     decided = granted(decide(pool, 1.0, offer("r.0.1", "topic", 5000, now=1.0)))
     assert decided == {"r.0.1": "e-1"}
 
@@ -83,7 +85,7 @@
     pool = scheduler()
     offers = [offer(f"r.0.{n}", f"t-{n}", 1, 30_000, now=1.0) for n in range(3)]
     assert len(granted(decide(pool, 1.0, *offers))) == 1
-    assert pool.loads["e-0"].unread == 30_001
+    assert pool.loads["e-0"].prefill_tokens == 30_001
 
 
 def test_the_next_request_goes_when_the_one_before_has_begun():
@@ -98,7 +100,7 @@
     pool = scheduler()
     decide(pool, 1.0, offer("r.0.1", "a", 1, 60_000, now=1.0))
     late = offer("r.0.2", "b", 1, 60_000, now=1.05, due=1.35)
-    refused = turned_away(decide(pool, 1.0 + 2 * REVIEW_INTERVAL, late))
+    refused = rejected(decide(pool, 1.0 + 2 * REVIEW_INTERVAL, late))
     assert 0.3 <= refused["r.0.2"].retry_after <= 3.4
 
 
@@ -109,7 +111,7 @@
     pool.loads["e-0"].first_tokens.speed = speed
     decide(pool, 1.0, offer("r.0.0", "x", 1, 100, now=1.0))
     long = offer("r.0.1", "l", 1, 40_000, now=1.0, due=2.0)
-    assert pool._is_hopeless(long, 1.0 + 0.15 + 0.3, 1.0) is not waits
+    assert pool._is_too_late(long, 1.0 + 0.15 + 0.3, 1.0) is not waits
 
 
 def test_an_idle_engine_serves_what_is_late_already():
@@ -127,7 +129,7 @@
     decide(pool, 1.0, *flood)
     small = offer("r.0.99", "s", 1, 9000, now=1.1, organisation="small", due=9.0)
     pool.offer(small, 1.1)
-    busy = next(iter(pool.places))
+    busy = next(iter(pool.placements))
     pool.begun(busy, 0.1)
     assert "r.0.99" in granted(pool.decide(1.1 + REVIEW_INTERVAL))
 
@@ -227,8 +229,8 @@
 
 def test_a_new_scheduler_learns_what_runs_from_the_routers():
     pool = scheduler(slots=1)
-    active = Active("r.0.7", "r", 0, 100, 1.0, 1.0, begun=True)
-    pool.holds("e-0", active)
+    active = ActiveRequest("r.0.7", "r", 0, 100, 1.0, 1.0, begun=True)
+    pool.record_active("e-0", active)
     assert not granted(decide(pool, 1.1, offer(now=1.1)))
 
 
@@ -259,7 +261,7 @@
         lambda self, *args: looked.append(1) or original(self, *args),
     )
     pool.decide(1.02 + REVIEW_INTERVAL)
-    assert len(looked) <= HEAD
+    assert len(looked) <= QUEUE_HEAD_LENGTH
 
 
 def plain_load(seconds, seed, error_rate=0.1, requests=110, places=6, endpoints=4):
@@ -309,7 +311,7 @@
 
 def test_nothing_is_sent_to_an_endpoint_that_has_ended():
     made = scheduler(2)
-    made.lost("e-0", 0.0)
+    made.suspend("e-0", 0.0)
     offers = [offer(f"r.1.{number}", f"t-{number}") for number in range(3)]
     decisions = granted(decide(made, 0.0, *offers))
     assert set(decisions.values()) == {"e-1"}
@@ -332,18 +334,18 @@
 
 def test_a_request_is_refused_at_once_if_all_endpoints_rest_beyond_its_objective():
     made = scheduler(2)
-    made.lost("e-0", 0.0)
-    made.lost("e-1", 0.5)
+    made.suspend("e-0", 0.0)
+    made.suspend("e-1", 0.5)
     wants = offer("r.1.0", now=0.5, due=1.5, expires=20.5)
-    refused = turned_away(decide(made, 0.5, wants))["r.1.0"]
+    refused = rejected(decide(made, 0.5, wants))["r.1.0"]
     # The first of them may be tried again at 4.0 s.
     assert 3.5 * 0.75 <= refused.retry_after <= 3.5 * 1.25
 
 
 def test_a_request_waits_for_an_endpoint_that_rests_within_its_objective():
     made = scheduler(2)
-    made.lost("e-0", 0.0)
-    made.lost("e-1", 0.0)
+    made.suspend("e-0", 0.0)
+    made.suspend("e-1", 0.0)
     wants = offer("r.1.0", now=3.5, due=4.5, expires=13.5)
     assert decide(made, 3.5, wants) == []
     assert granted(made.decide(4.01)).keys() == {"r.1.0"}
@@ -352,18 +354,18 @@
 def test_a_request_that_has_tried_all_endpoints_is_refused_at_once():
     made = scheduler(1)
     wants = offer("r.1.0", avoid=frozenset({"e-0"}))
-    assert turned_away(decide(made, 0.0, wants)).keys() == {"r.1.0"}
+    assert rejected(decide(made, 0.0, wants)).keys() == {"r.1.0"}
 
 
 def test_a_request_waits_for_an_endpoint_that_only_its_router_cannot_reach():
     pool = scheduler(2)
-    pool.lost("e-1", 1.0)
+    pool.suspend("e-1", 1.0)
     decide(pool, 1.0, offer("a.0.1", now=1.0, router="a"))
     pool.ended("a.0.1", Outcome.UNREACHABLE, 1.1)
     soon = offer("a.0.2", now=1.2, due=1.3, router="a")
     later = offer("a.0.3", now=1.2, due=2.2, router="a")
     decisions = decide(pool, 1.2, soon, later)
-    assert turned_away(decisions).keys() == {"a.0.2"}
+    assert rejected(decisions).keys() == {"a.0.2"}
     pool.expire(1.65)
     assert granted(pool.decide(1.65)).keys() == {"a.0.3"}
 
@@ -386,7 +388,7 @@
 
 def test_nothing_is_copied_from_where_it_is_not_allowed():
     made = two_places()
-    made.learn_kept("north", [Part("topic", 5000)])
+    made.record_cached_prefixes("north", [Part("topic", 5000)])
     item = offer(tokens=5000, now=1.0, allowed=frozenset({"south"}))
     made.offer(item, 1.0)
     (decision,) = made.decide(1.0)
--- a/tests/coordination/scheduling/test_slow_start.py
+++ b/tests/coordination/scheduling/test_slow_start.py
@@ -11,7 +11,7 @@
 import pytest
 from msgspec import structs
 
-from carawayfold.coordination.scheduling.endpoint_load import Active
+from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
 from carawayfold.coordination.scheduling.offers import Granted, Outcome, TurnedAway
 from carawayfold.coordination.scheduling.scheduler import PoolPlan, Scheduler
 from tests.schedule_builders import WINDOW, endpoint, offer
@@ -83,7 +83,7 @@
 
 def test_one_that_stands_in_gives_nothing_to_what_warms_up():
     made = pool(warm=0, warming=1)
-    made.warming_from = math.inf
+    made.warm_up_allowed_from = math.inf
     got = play(made, end=2.9)
     assert got["c-0"] == []
     assert play(made, begin=3.0, end=3.5)["c-0"]
@@ -116,10 +116,10 @@
 
 def test_an_endpoint_that_its_sender_knows_to_warm_up_rests_until_that_is_known():
     made = pool(warm=1, warming=0)
-    made.holds("w-0", Active("r.0.1", "r", 0, 10, 1.0, 1.0))
+    made.record_active("w-0", ActiveRequest("r.0.1", "r", 0, 10, 1.0, 1.0))
     made.ended("r.0.1", Outcome.WARMING, 1.0)
     assert made.loads["w-0"].suspended_until > 1.0
-    assert made.loads["w-0"].failing == 0.0
+    assert made.loads["w-0"].failure_ratio == 0.0
 
 
 @pytest.mark.parametrize("word", ["warming", "whole", "a-later-word"])
--- a/tests/coordination/scheduling/test_tallies.py
+++ b/tests/coordination/scheduling/test_tallies.py
@@ -7,17 +7,17 @@
 import logbook
 
 from carawayfold.coordination.scheduling import tallies
-from carawayfold.coordination.scheduling.tallies import Tallies
+from carawayfold.coordination.scheduling.tallies import SchedulingStatistics
 from carawayfold.state.usage import UsageBook
 
 
 def test_a_line_names_those_that_asked_for_most():
     async def work():
-        made = Tallies()
-        tally = made.of("model/0")
-        tally.offers, tally.again = 3, 2
+        made = SchedulingStatistics()
+        statistics = made.of("model/0")
+        statistics.offers, statistics.repeated = 3, 2
         account = UsageBook(4.0)
-        for number in range(tallies.NAMED + 1):
+        for number in range(tallies.MAX_NAMED_ORGANISATIONS + 1):
             account.asked(f"o-{number}", 0.0, 100 * number)
         account.granted("o-2", 0.0, 50)
         made.write({"model/0": account}, {"model/0"})
@@ -35,7 +35,7 @@
 
 def test_offers_for_unknown_pools_are_told_once():
     async def work():
-        made = Tallies()
+        made = SchedulingStatistics()
         made.unknown = 3
         made.write({}, set())
         made.write({}, set())
@@ -43,5 +43,5 @@
     with logbook.TestHandler() as handler:
         asyncio.run(work())
     (line,) = handler.records
-    assert line.message == "offered unknown pools"
+    assert line.message == "offers received for unknown pools"
     assert line.extra["offers"] == 3
