--- a/tests/coordination/scheduling/test_tallies.py
+++ b/tests/coordination/scheduling/test_tallies.py
@@ -1,4 +1,4 @@
-"""What a router tells of its decisions."""
+"""Log lines on the scheduling decisions of a router."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import logbook
 
 from carawayfold.coordination.scheduling import tallies
-from carawayfold.coordination.scheduling.tallies import Tallies
+from carawayfold.coordination.scheduling.tallies import SchedulingStatistics
 from carawayfold.state.usage import UsageBook
 
 
-def test_a_line_names_those_that_asked_for_most():
+def test_a_log_line_names_the_organisations_that_requested_most():
     async def work():
-        made = Tallies()
-        tally = made.of("model/0")
-        tally.offers, tally.again = 3, 2
+        made = SchedulingStatistics()
+        statistics = made.of("model/0")
+        statistics.offers, statistics.repeated = 3, 2
         account = UsageBook(4.0)
-        for number in range(tallies.NAMED + 1):
+        for number in range(tallies.MAX_NAMED_ORGANISATIONS + 1):
             account.asked(f"o-{number}", 0.0, 100 * number)
         account.granted("o-2", 0.0, 50)
         made.write({"model/0": account}, {"model/0"})
@@ -33,9 +33,9 @@
     assert line.extra["organisations"] == wanted
 
 
-def test_offers_for_unknown_pools_are_told_once():
+def test_offers_for_unknown_pools_are_logged_once():
     async def work():
-        made = Tallies()
+        made = SchedulingStatistics()
         made.unknown = 3
         made.write({}, set())
         made.write({}, set())
