--- a/carawayfold/coordination/requests/calls.py
+++ b/carawayfold/coordination/requests/calls.py
@@ -1,4 +1,4 @@
-"""The life of one caller's request, from its arrival to its one answer."""
+"""Handles a caller's request, from its arrival to its one answer."""
 
 from __future__ import annotations
 
@@ -9,8 +9,12 @@
 import logbook
 
 from carawayfold.coordination.containment.crash_reports import Loss
-from carawayfold.coordination.requests.once import OnceRunner
-from carawayfold.coordination.requests.relay import DECLINED, Relay, WholeAnswer
+from carawayfold.coordination.requests.once import AtMostOnceRunner
+from carawayfold.coordination.requests.relay import (
+    DECLINED_STATUSES,
+    CompleteAnswer,
+    Relay,
+)
 from carawayfold.errors import ErrorKind, Ran, Refusal
 from carawayfold.protocol import callers, problem
 from carawayfold.settings import Address
@@ -39,26 +43,38 @@
 
 logger = logbook.Logger(__name__)
 
-#: Attempts of one request in all.
-ATTEMPTS = 3
-#: Retries that may be saved up.
-RETRIES_SAVED = 10.0
+#: Attempts for one request, the first one included.
+MAX_TOTAL_ATTEMPTS = 3
+#: Retries that a budget accumulates at most.
+MAX_SAVED_RETRIES = 10.0
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request being served.
+    """One request in flight.
 
     Attributes
     ----------
+    request : CallerRequest
+        The parsed request.
+    response : Response
+        The answer to the caller.
+    organisation : OrganisationId
+        Organisation of the API key.
+    service : Service
+        The requested service.
     arrived : float
-        Loop time of arrival.
+        Loop time at which the request was received.
     deadline : float
-        Loop time by which it must have begun.
+        Loop time by which an endpoint must have been granted.
     once : bool
-        Whether it may run at most once.
+        Whether the request may run at most once.
     task : asyncio.Task or None
-        Cancelled if the caller goes away.
+        Task that handles the request; cancelled if the caller disconnects.
+    relay : Relay or None
+        The last attempt.
+    claim : OwnClaim or None
+        Claim on the idempotency key, if this request holds one.
     """
 
     request: CallerRequest
@@ -74,24 +90,24 @@
 
     @property
     def content(self) -> ContentId:
-        """Return the digest of what is asked, equal for each repeat."""
-        asked = self.request
-        method, path = asked.method.encode(), asked.path.encode()
-        return content_id(self.organisation, method, path, asked.body)
+        """Return the digest of the request's content, equal for each retry of it."""
+        request = self.request
+        method, path = request.method.encode(), request.path.encode()
+        return content_id(self.organisation, method, path, request.body)
 
     @property
-    def keyed(self) -> bool:
-        """Return whether repeats of the request can be told."""
+    def has_idempotency_key(self) -> bool:
+        """Return whether retries of the request can be recognised."""
         return bool(self.request.idempotency_key)
 
-    def leave(self) -> None:
-        """Note that the caller has gone: cancel, unless the answer is to be kept."""
-        if not self.keyed:
+    def handle_disconnect(self) -> None:
+        """Cancel the request of a disconnected caller, unless its answer is stored."""
+        if not self.has_idempotency_key:
             self.task.cancel()
 
 
 class AttemptFailed(Exception):
-    """One attempt failed; the request may be tried elsewhere."""
+    """An attempt failed, and the request may be retried at another endpoint."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -99,7 +115,7 @@
 
 
 def registration(endpoint: ConfiguredEndpoint) -> Endpoint:
-    """Return a configured endpoint as registrations tell of others."""
+    """Return a configured endpoint in the form of a registered one."""
     return Endpoint(
         EndpointName(endpoint.id),
         ServiceId(endpoint.service),
@@ -110,61 +126,79 @@
     )
 
 
-def truthful(refusal: Refusal, earlier: Ran) -> Refusal:
-    """Return `refusal`, not denying what an earlier attempt may have done."""
+def with_earlier_outcome(refusal: Refusal, earlier: Ran) -> Refusal:
+    """Return `refusal` with `ran` corrected by the result of earlier attempts.
+
+    A refusal must not state that the request did not run if an earlier attempt ran it,
+    or may have.
+    """
     if refusal.ran is Ran.NO and earlier is not Ran.NO:
         return replace(refusal, ran=earlier)
     return refusal
 
 
 class RetryBudget:
-    """Bounds retries to a share of the requests, so that they can't multiply.
+    """Limits retries to a share of the requests, so that overload isn't amplified.
 
     Parameters
     ----------
     ratio : float
-        Retries earned by each request.
+        Retries that each request adds to the budget.
+
+    Attributes
+    ----------
+    available : float
+        Retries that may be made now.
     """
 
     def __init__(self, ratio: float) -> None:
         self.ratio = ratio
-        self.saved = RETRIES_SAVED
+        self.available = MAX_SAVED_RETRIES
 
-    def earn(self) -> None:
-        """Note a new request."""
-        self.saved = min(RETRIES_SAVED, self.saved + self.ratio)
+    def deposit(self) -> None:
+        """Add the share of a new request."""
+        self.available = min(MAX_SAVED_RETRIES, self.available + self.ratio)
 
-    def spend(self) -> bool:
-        """Take one retry; return whether there was one."""
-        if self.saved < 1:
+    def try_spend(self) -> bool:
+        """Take one retry from the budget; return whether one was available."""
+        if self.available < 1:
             return False
-        self.saved -= 1
+        self.available -= 1
         return True
 
 
 class CallHandler:
-    """Serves callers' requests.
+    """Handles callers' requests: scheduling, attempts, retries and answers.
 
     Parameters
     ----------
     settings : Settings
-        Deadlines and budgets.
+        Source of the default deadline, timeouts and the retry budget.
     view : ConfigView
         Configuration in force.
     dispatcher : Dispatcher
-        Slots.
+        Grants slots of endpoints.
     health : HealthBook
-        Experience with endpoints.
+        Records successes and failures of endpoints.
     metrics : Metrics
-        Where the ends of requests are counted.
+        Counters and histograms by organisation.
     http : HttpClient
         Connections to endpoints.
     claims : Claims
-        For requests that may run at most once.
+        Claims on idempotency keys.
     ask_owner : callable
-        Asks the router that holds a claim what became of it.
+        Asks the router that holds a claim for the outcome of its request.
     containment : Containment
-        Verdicts on contents under which endpoints end.
+        Rejects requests with contents under which endpoints crash.
+
+    Attributes
+    ----------
+    calls : set of Call
+        Requests in flight.
+    ready : bool
+        Whether a configuration is in force, so that requests are accepted.
+    stopping : bool
+        Whether the router is stopping: new requests are refused, none is retried.
     """
 
     def __init__(
@@ -180,7 +214,7 @@
         containment: Containment,
     ) -> None:
         self.containment = containment
-        self.once = OnceRunner(claims, ask_owner, self.attempt)
+        self.once = AtMostOnceRunner(claims, ask_owner, self.attempt)
         self.settings = settings
         self.view = view
         self.dispatcher = dispatcher
@@ -194,18 +228,18 @@
         self.stopping = False
 
     def serve(self, request: Request, response: Response, body: bytes) -> None:
-        """Serve one request; answers through the edge server."""
+        """Start handling one request, or refuse it at once."""
         response.headers["X-Request-Id"] = request.headers.get("X-Request-Id", "")
         try:
-            call = self._open(request, response, body)
+            call = self._open_call(request, response, body)
         except Refusal as refusal:
             self.refuse(response, refusal)
             return
         self.calls.add(call)
         call.task = asyncio.get_running_loop().create_task(self._run(call))
-        self.edge.watch(request, call.leave)
+        self.edge.watch(request, call.handle_disconnect)
 
-    def _open(self, request: Request, response: Response, body: bytes) -> Call:
+    def _open_call(self, request: Request, response: Response, body: bytes) -> Call:
         request_id = callers.parse_request_id(request.headers)
         response.headers["X-Request-Id"] = request_id
         if self.stopping:
@@ -226,7 +260,7 @@
         return call
 
     async def _run(self, call: Call) -> None:
-        self.budget.earn()
+        self.budget.deposit()
         try:
             answer = await self._answer(call)
         except Refusal as refusal:
@@ -237,22 +271,22 @@
             logger.exception("request failed")
             self._end_refused(call, Refusal(ErrorKind.INTERNAL, ran=Ran.UNKNOWN))
         else:
-            self._end_whole(call, answer)
+            self._end_complete(call, answer)
         finally:
             self.calls.discard(call)
 
-    async def _answer(self, call: Call) -> WholeAnswer:
-        if call.keyed:
+    async def _answer(self, call: Call) -> CompleteAnswer:
+        if call.has_idempotency_key:
             return await self.once.run(call)
         return await self.attempt(call)
 
-    async def attempt(self, call: Call) -> WholeAnswer:
-        """Have `call` answered by an endpoint, retrying only where that is safe.
+    async def attempt(self, call: Call) -> CompleteAnswer:
+        """Send `call` to an endpoint and return the answer; retry where it is safe.
 
         Raises
         ------
         Refusal
-            With the truth about whether the request ran.
+            No attempt succeeded; `ran` states whether the request ran in any of them.
         """
         failed: frozenset[EndpointId] = frozenset()
         ran = Ran.NO
@@ -261,24 +295,24 @@
                 endpoint = await self.dispatcher.acquire(
                     call.request, call.organisation, call.deadline, failed
                 )
-                self._refuse_acquired(call, endpoint)
+                self._refuse_harmful_after_acquire(call, endpoint)
                 return await self._use_slot(call, endpoint)
             except AttemptFailed as failure:
                 refusal = failure.refusal
             except Refusal as refusal:
-                raise truthful(refusal, ran) from None
-            ran = truthful(refusal, ran).ran
+                raise with_earlier_outcome(refusal, ran) from None
+            ran = with_earlier_outcome(refusal, ran).ran
             failed |= {endpoint}
             if not self._may_retry(call, refusal, failed):
-                raise truthful(refusal, ran)
+                raise with_earlier_outcome(refusal, ran)
 
-    async def _use_slot(self, call: Call, endpoint: EndpointId) -> WholeAnswer:
-        """Run one attempt and give the slot back.
+    async def _use_slot(self, call: Call, endpoint: EndpointId) -> CompleteAnswer:
+        """Run one attempt and release the slot.
 
         Raises
         ------
         AttemptFailed
-            If it might be tried elsewhere.
+            The attempt failed, and the request may be retried elsewhere.
         """
         metrics = self.metrics.of(call.organisation)
         waited = asyncio.get_running_loop().time() - call.arrived
@@ -286,18 +320,18 @@
         relay = None
         try:
             relay = call.relay = self._build_relay(call, endpoint)
-            return self._judge(call, endpoint, await relay.run())
+            return self._check_answer(call, endpoint, await relay.run())
         except ExchangeError as error:
             self.health.failed(endpoint)
             if error.phase is not Phase.CONNECTING:
-                self._note_loss(call, endpoint)
+                self._report_endpoint_loss(call, endpoint)
             ran = Ran.NO if error.phase is Phase.CONNECTING else Ran.UNKNOWN
             refusal = Refusal(ErrorKind.ENDPOINT_FAILED, str(error), ran)
             raise AttemptFailed(refusal) from None
         except Refusal as refusal:
             if refusal.kind is ErrorKind.ANSWER_BROKEN:
                 self.health.failed(endpoint)
-                self._note_loss(call, endpoint)
+                self._report_endpoint_loss(call, endpoint)
             raise AttemptFailed(refusal) from None
         finally:
             received = relay.service_received() if relay else 0.0
@@ -307,10 +341,10 @@
             )
 
     def _build_relay(self, call: Call, endpoint: EndpointId) -> Relay:
-        known = self.view.endpoints.get(endpoint)
+        configured = self.view.endpoints.get(endpoint)
         if call.claim is not None and not self.once.claims.may_send(call.claim):
             raise Refusal(ErrorKind.LOG_UNAVAILABLE, "the claim has lapsed")
-        if known is None:
+        if configured is None:
             raise Refusal(ErrorKind.NO_ENDPOINT, "the endpoint was removed")
         return Relay(
             self.http,
@@ -318,21 +352,27 @@
             self.settings,
             call.request,
             call.response,
-            Address(known.host, known.port),
+            Address(configured.host, configured.port),
             call.once,
         )
 
-    def _judge(
-        self, call: Call, endpoint: EndpointId, answer: WholeAnswer
-    ) -> WholeAnswer:
-        """Return `answer` if it is one for the caller, and note the health."""
+    def _check_answer(
+        self, call: Call, endpoint: EndpointId, answer: CompleteAnswer
+    ) -> CompleteAnswer:
+        """Return `answer` if it goes to the caller, and record the endpoint's health.
+
+        Raises
+        ------
+        Refusal
+            The endpoint declined the request, or failed and a retry is allowed.
+        """
         if answer.status < 500:
             self.health.succeeded(endpoint)
             return answer
         self.health.failed(endpoint)
-        if answer.passed_on:
+        if answer.already_sent:
             return answer
-        if answer.status in DECLINED:
+        if answer.status in DECLINED_STATUSES:
             raise Refusal(ErrorKind.ENDPOINT_FAILED, "the endpoint declined")
         if call.once:
             return answer
@@ -342,20 +382,22 @@
     def _may_retry(
         self, call: Call, refusal: Refusal, failed: frozenset[EndpointId]
     ) -> bool:
-        if len(failed) >= ATTEMPTS or self.stopping:
+        if len(failed) >= MAX_TOTAL_ATTEMPTS or self.stopping:
             return False
         if self.containment.is_suspected(call):
             return False
-        if not self._others(call, failed):
+        if not self._untried_endpoints(call, failed):
             return False
-        if call.relay is not None and call.relay.begun:
+        if call.relay is not None and call.relay.answer_started:
             return False
         if refusal.ran is not Ran.NO and call.once:
             return False
-        return self.budget.spend()
+        return self.budget.try_spend()
 
-    def _others(self, call: Call, failed: frozenset[EndpointId]) -> list[str]:
-        """Return the endpoints of the call's service that have not failed it."""
+    def _untried_endpoints(
+        self, call: Call, failed: frozenset[EndpointId]
+    ) -> list[str]:
+        """Return the endpoints of the service at which no attempt failed."""
         return [
             name
             for name, endpoint in self.view.endpoints.items()
@@ -364,9 +406,9 @@
             and name not in failed
         ]
 
-    # Contents under which endpoints end
+    # Contents under which endpoints crash
 
-    def _refuse_acquired(self, call: Call, endpoint: EndpointId) -> None:
+    def _refuse_harmful_after_acquire(self, call: Call, endpoint: EndpointId) -> None:
         try:
             self.containment.refuse_harmful(call)
         except Refusal:
@@ -375,24 +417,26 @@
             )
             raise
 
-    def _note_loss(self, call: Call, endpoint: EndpointId) -> None:
-        known = self.view.endpoints.get(endpoint)
-        if known is None:
+    def _report_endpoint_loss(self, call: Call, endpoint: EndpointId) -> None:
+        configured = self.view.endpoints.get(endpoint)
+        if configured is None:
             return
         now = asyncio.get_running_loop().time()
-        begun = call.relay is not None and call.relay.begun
-        found = registration(known)
+        answer_started = call.relay is not None and call.relay.answer_started
+        registered = registration(configured)
         started = call.relay.started_at if call.relay is not None else None
-        loss = Loss(call.content, call.organisation, found, now, begun, started)
+        loss = Loss(
+            call.content, call.organisation, registered, now, answer_started, started
+        )
         self.containment.reports.note(loss)
 
-    def _end_whole(self, call: Call, answer: WholeAnswer) -> None:
+    def _end_complete(self, call: Call, answer: CompleteAnswer) -> None:
         self.containment.note_well(call, call.request.body)
-        self._count_first(call)
+        self._record_first_byte(call)
         self.metrics.of(call.organisation).whole += 1
         if self.stopping:
             call.response.close = True
-        if answer.passed_on:
+        if answer.already_sent:
             self.edge.end(call.response)
         else:
             call.response.status = answer.status
@@ -401,16 +445,16 @@
             self.edge.answer(call.response, answer.body)
         self._log(call, "whole")
 
-    def _count_first(self, call: Call) -> None:
-        if call.relay is None or not call.relay.first_at:
+    def _record_first_byte(self, call: Call) -> None:
+        if call.relay is None or not call.relay.first_byte_at:
             return
-        first_ms = int((call.relay.first_at - call.arrived) * 1000)
+        first_ms = int((call.relay.first_byte_at - call.arrived) * 1000)
         self.metrics.of(call.organisation).first.record_value(max(1, first_ms))
 
     def _end_refused(self, call: Call, refusal: Refusal) -> None:
         metrics = self.metrics.of(call.organisation)
         self._log(call, refusal.kind.value)
-        if call.relay is not None and call.relay.begun:
+        if call.relay is not None and call.relay.answer_started:
             metrics.broken += 1
             self._end_broken(call, refusal)
             return
@@ -418,14 +462,17 @@
         self.refuse(call.response, refusal)
 
     def _end_broken(self, call: Call, refusal: Refusal) -> None:
-        """End a stream with an explicit error, and never as if it were whole."""
+        """Abort an answer that was started; a stream gets an error event first.
+
+        The caller must be able to distinguish it from a complete answer.
+        """
         if call.request.streamed:
             document = problem.encode(refusal, call.request.request_id)
             self.edge.send(call.response, b'data: {"error": %b}\n\n' % document)
         self.edge.abort(call.response)
 
     def refuse(self, response: Response, refusal: Refusal) -> None:
-        """Answer with a problem document."""
+        """Answer with a problem document for `refusal`."""
         response.status = refusal.answer.status
         response.headers["Content-Type"] = problem.CONTENT_TYPE
         if refusal.wait is not None:
--- a/carawayfold/coordination/requests/claims.py
+++ b/carawayfold/coordination/requests/claims.py
@@ -1,4 +1,4 @@
-"""Claiming idempotency keys on the platform's log, many in one append."""
+"""Claims idempotency keys on the platform's log, in batches."""
 
 from __future__ import annotations
 
@@ -29,87 +29,107 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds that a claim waits for its verdict.
+#: Seconds that a request waits for the log to decide its claim.
 CLAIM_TIMEOUT = 3.0
-#: Least seconds between two appends of one router.
+#: Least seconds between two appends by one router.
 APPEND_GAP = 0.02
-#: Appends a second that the claims of the whole fleet may make at most.
+#: Appends a second that all routers of the fleet together may make for claims.
 APPENDS_BUDGET = 300.0
-#: Seconds for which the end of a claim waits for company.
-END_DELAY = 0.5
-#: Seconds after winning within which a request must be sent: a router that was
-#: paused for longer gives the claim back instead.
-SEND_WITHIN = 30.0
-#: Bytes of answers kept for repeats.
-ANSWERS_LIMIT = 8 << 20
+#: Seconds for which the end of a claim waits to be appended in one batch with others.
+END_BATCH_DELAY = 0.5
+#: Seconds after winning a claim within which its request must be sent. A router whose
+#: process was suspended for longer releases the claim instead.
+MAX_SEND_DELAY = 30.0
+#: Bytes of answers that are stored for retries.
+MAX_STORED_ANSWER_BYTES = 8 << 20
 
 
 class OwnClaim(msgspec.Struct, eq=False):
-    """A claim that this router has made.
+    """A claim made by this router.
 
     Attributes
     ----------
-    verdict : asyncio.Future of Claim
-        Resolved with the claim that holds the key.
+    digest : bytes
+        Digest of the organisation and its key.
+    identity : ClaimId
+        Incarnation of this router, and a sequence number.
+    fingerprint : bytes
+        Fingerprint of the request.
+    holder : asyncio.Future of Claim
+        Resolved with the claim that holds the key, which may be another one.
     won_at : float
         Loop time at which it was won; 0 before.
+    appended : bool
+        Whether it is in an append that is in flight or succeeded.
     """
 
     digest: bytes
     identity: ClaimId
     fingerprint: bytes
-    verdict: asyncio.Future[Claim]
+    holder: asyncio.Future[Claim]
     won_at: float = 0.0
     appended: bool = False
 
 
 class Pending(msgspec.Struct):
-    """What the next append will carry."""
+    """Records for the next append."""
 
     claims: dict[int, OwnClaim] = msgspec.field(default_factory=dict)
     ends: list[EndRecord] = msgspec.field(default_factory=list)
 
 
 class Claims:
-    """Follows the claims stream and makes this router's claims.
+    """Makes this router's claims, and applies the log's claims in order.
 
     Parameters
     ----------
     log : LogClient
-        The stream.
+        Client of the log that holds the claims.
     own : Member
         This router.
-    lifetime : float
-        Seconds for which a key is remembered.
+    retention : float
+        Seconds for which a key stays claimed.
 
     Attributes
     ----------
+    book : ClaimBook
+        The claims that the log holds, as far as it has been read.
+    answers : AnswerStore
+        Stored answers to requests of this router, by digest.
     caught_up : bool
-        Whether every claim on the log has been read.
-    append_gap : float
-        Least seconds between two appends here.
+        Whether the log has been read to its end once.
+    append_interval : float
+        Least seconds between two appends by this router.
+    position : int
+        Offset of the next record to read.
+    sequence : int
+        Sequence number of the last claim made.
+    ends : list of EndRecord
+        Ends of claims that are not appended yet.
+    append_needed : asyncio.Event
+        Set when there are records to append.
     """
 
-    def __init__(self, log: LogClient, own: Member, lifetime: float) -> None:
+    def __init__(self, log: LogClient, own: Member, retention: float) -> None:
         self.log = log
         self.own = own
-        self.book = ClaimBook(lifetime)
-        self.answers = AnswerStore(ANSWERS_LIMIT)
+        self.book = ClaimBook(retention)
+        self.answers = AnswerStore(MAX_STORED_ANSWER_BYTES)
         self.caught_up = False
-        self.append_gap = APPEND_GAP
+        self.append_interval = APPEND_GAP
         self.position = 0
         self.sequence = 0
-        #: Claims without a verdict yet, by sequence.
+        #: Claims that the log has not decided yet, by sequence number.
         self.open: dict[int, OwnClaim] = {}
-        #: Claims won, not ended yet, by digest.
+        #: Claims won whose requests have not ended yet, by digest.
         self.running: dict[bytes, OwnClaim] = {}
         self.ends: list[EndRecord] = []
-        self.work = asyncio.Event()
+        self.append_needed = asyncio.Event()
 
     # Making claims
 
     def find(self, digest: bytes) -> Claim | None:
-        """Return the claim that holds a key, as far as the log has been read."""
+        """Return the claim that holds a key, None if none is known."""
         return self.book.find(digest, asyncio.get_running_loop().time())
 
     async def claim(
@@ -120,9 +140,9 @@
         Parameters
         ----------
         digest : bytes
-            Of the organisation's key.
+            Digest of the organisation and its key.
         fingerprint : bytes
-            Of the request.
+            Fingerprint of the request.
         timeout : float
             Seconds left for the request.
 
@@ -134,136 +154,143 @@
         Raises
         ------
         Refusal
-            ``log-unavailable`` where no verdict could be had; the request did
-            not run and never will.
+            ``log-unavailable`` if the log did not decide the claim in time; the request
+            did not run, and its claim is released if it is won later.
         """
         if not self.caught_up:
             raise Refusal(ErrorKind.LOG_UNAVAILABLE, "claims are not known yet")
         self.sequence += 1
-        verdict = asyncio.get_running_loop().create_future()
+        holder = asyncio.get_running_loop().create_future()
         identity = ClaimId(self.own.incarnation, self.sequence)
-        claim = OwnClaim(digest, identity, fingerprint, verdict)
+        claim = OwnClaim(digest, identity, fingerprint, holder)
         self.open[self.sequence] = claim
-        self.work.set()
+        self.append_needed.set()
         try:
             async with asyncio.timeout(min(timeout, CLAIM_TIMEOUT)):
-                held = await verdict
+                held = await holder
         except TimeoutError:
             raise Refusal(
                 ErrorKind.LOG_UNAVAILABLE, "the log gave no verdict in time"
             ) from None
         finally:
-            self._settle(claim)
+            self._close(claim)
         return claim if held.owner == identity else held
 
-    def _settle(self, claim: OwnClaim) -> None:
-        """Close an open claim; one given up is released if it is ever read."""
+    def _close(self, claim: OwnClaim) -> None:
+        """Remove an open claim, and record it as running if it was won.
+
+        A claim that timed out is released once it is read from the log.
+        """
         self.open.pop(claim.identity.sequence, None)
-        if not claim.verdict.done() or claim.verdict.cancelled():
+        if not claim.holder.done() or claim.holder.cancelled():
             return
-        if claim.verdict.result().owner == claim.identity:
+        if claim.holder.result().owner == claim.identity:
             claim.won_at = asyncio.get_running_loop().time()
             self.running[claim.digest] = claim
 
     def may_send(self, claim: OwnClaim) -> bool:
-        """Return whether a won claim still gives the right to send."""
+        """Return whether the request of a won claim may still be sent."""
         now = asyncio.get_running_loop().time()
-        return now - claim.won_at < SEND_WITHIN
+        return now - claim.won_at < MAX_SEND_DELAY
 
     def end(self, claim: OwnClaim, end: ClaimEnd) -> None:
-        """Put the end of a won claim on the log, soon."""
+        """Queue the end of a won claim for the next batch."""
         self.running.pop(claim.digest, None)
         held = self.book.claims.get(claim.digest)
         if held is not None and held.owner == claim.identity:
             held.end = end
-        self._end_later(claim.digest, claim.identity, end)
+        self._queue_end(claim.digest, claim.identity, end)
 
-    def _end_later(self, digest: bytes, identity: ClaimId, end: ClaimEnd) -> None:
+    def _queue_end(self, digest: bytes, identity: ClaimId, end: ClaimEnd) -> None:
         self.ends.append(EndRecord(digest, identity.sequence, end))
         loop = asyncio.get_running_loop()
-        delay = 0.0 if end is ClaimEnd.RELEASED else END_DELAY
-        loop.call_later(delay, self.work.set)
+        delay = 0.0 if end is ClaimEnd.RELEASED else END_BATCH_DELAY
+        loop.call_later(delay, self.append_needed.set)
 
     async def append(self) -> None:
-        """Append batches for ever, one at a time."""
+        """Append batches one at a time until cancelled."""
         while True:
-            await self.work.wait()
-            self.work.clear()
+            await self.append_needed.wait()
+            self.append_needed.clear()
             if not self.open and not self.ends:
                 continue
             try:
                 await self._append_batch()
             except PlatformError as error:
-                # It may stand on the log all the same; appending it again is
+                # The log may hold the batch nevertheless. Appending it again is
                 # idempotent, since the claims keep their identities.
-                logger.info("claims not confirmed", extra={"reason": str(error)})
-                self.work.set()
+                logger.info(
+                    "append of claims not confirmed; retrying",
+                    extra={"reason": str(error)},
+                )
+                self.append_needed.set()
                 await asyncio.sleep(RETRY_WAIT)
-            await asyncio.sleep(self.append_gap)
+            await asyncio.sleep(self.append_interval)
 
     def share_budget(self, routers: int) -> None:
-        """Wait longer between appends, the more routers share the budget."""
-        self.append_gap = max(APPEND_GAP, routers / APPENDS_BUDGET)
+        """Set the append interval so that `routers` together keep the fleet's limit."""
+        self.append_interval = max(APPEND_GAP, routers / APPENDS_BUDGET)
 
     async def _append_batch(self) -> None:
-        claims = [claim for claim in self.open.values() if not claim.verdict.done()]
+        claims = [claim for claim in self.open.values() if not claim.holder.done()]
         ends, self.ends = self.ends, []
-        fresh = [claim for claim in claims if not claim.appended]
-        if not fresh and not ends:
+        unappended = [claim for claim in claims if not claim.appended]
+        if not unappended and not ends:
             return
-        for claim in fresh:
+        for claim in unappended:
             claim.appended = True
         records = [
             ClaimRecord(claim.digest, claim.identity.sequence, claim.fingerprint)
-            for claim in fresh
+            for claim in unappended
         ]
         batch = Batch(self.own.router, self.own.incarnation, records, ends)
         try:
             await self.log.append(batch_encoder.encode(batch))
         except PlatformError:
-            for claim in fresh:
+            for claim in unappended:
                 claim.appended = False
             self.ends = ends + self.ends
             raise
 
-    # Following the stream
+    # Reading the log
 
     async def step(self) -> None:
-        """Read one page and apply it."""
+        """Read one page of the log and apply its records."""
         page = await self.log.read(self.position)
-        # Trimmed claims are older than the log's retention: forgotten keys.
+        # Trimmed records are older than the log's retention: their keys have expired.
         self.position = max(self.position, page.first)
         for record in page.records:
-            self._take(record)
+            self._apply_record(record)
             self.position = record.offset + 1
         if self.position >= page.next:
             self.caught_up = True
 
-    def _take(self, item: LogRecord) -> None:
+    def _apply_record(self, item: LogRecord) -> None:
         try:
             batch = batch_decoder.decode(item.data)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
             logger.warning(
-                "invalid record", extra={"offset": item.offset, "reason": str(error)}
+                "invalid claims record skipped",
+                extra={"offset": item.offset, "reason": str(error)},
             )
             return
         now = asyncio.get_running_loop().time()
-        verdicts = zip(batch.claims, self.book.apply(batch, now), strict=True)
-        for record, (identity, held) in verdicts:
+        decisions = zip(batch.claims, self.book.apply(batch, now), strict=True)
+        for record, (identity, held) in decisions:
             if identity.incarnation != self.own.incarnation:
                 continue
             claim = self.open.get(identity.sequence)
             if claim is None:
                 self._release_abandoned(record, identity, held)
-            elif not claim.verdict.done():
-                claim.verdict.set_result(held)
+            elif not claim.holder.done():
+                claim.holder.set_result(held)
 
     def _release_abandoned(
         self, record: ClaimRecord, identity: ClaimId, held: Claim
     ) -> None:
-        """Release a claim that won after its request had been refused."""
+        """Release a claim that was won after its request had been refused."""
         running = self.running.get(record.digest)
         if running is not None and running.identity == identity:
             return
         if held.owner == identity and held.end is None:
-            self._end_later(record.digest, identity, ClaimEnd.RELEASED)
+            self._queue_end(record.digest, identity, ClaimEnd.RELEASED)
--- a/carawayfold/coordination/requests/once.py
+++ b/carawayfold/coordination/requests/once.py
@@ -1,4 +1,8 @@
-"""Requests that run at most once: claim, send, and tell repeats the truth."""
+"""Runs requests with an idempotency key at most once.
+
+A request claims its key before it is sent. A retry with the same key gets the stored
+answer, or a refusal that states whether the first request ran.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, TypeAlias
 
-from carawayfold.coordination.requests.relay import WholeAnswer
+from carawayfold.coordination.requests.relay import CompleteAnswer
 from carawayfold.errors import ErrorKind, Ran, Refusal
 from carawayfold.protocol import peer_pb2
 from carawayfold.state.claims import (
@@ -20,44 +24,46 @@
     from carawayfold.coordination.requests.calls import Call
     from carawayfold.coordination.requests.claims import Claims, OwnClaim
 
-#: Header that marks an answer given again.
-REPLAYED = "idempotent-replayed"
-#: Longest body kept for repeats, in bytes.
-BODY_KEPT = 64 * 1024
+#: Header that marks a stored answer returned to a retry.
+REPLAYED_HEADER = "idempotent-replayed"
+#: Bytes of the longest body that is stored for retries.
+MAX_STORED_BODY_BYTES = 64 * 1024
 
+#: Asks the router that holds a claim, of a key with a digest, for the outcome.
 AskOwner: TypeAlias = Callable[[Claim, bytes], Awaitable[peer_pb2.OutcomeReply]]
 
 
-class OnceRunner:
-    """Runs requests with an idempotency key.
+class AtMostOnceRunner:
+    """Runs requests with an idempotency key at most once.
 
     Parameters
     ----------
     claims : Claims
         Claims of this router and of the fleet.
     ask_owner : callable
-        Asks the router that holds a claim.
+        Asks the router that holds a claim for the outcome.
     attempt : callable
-        Has a call answered by an endpoint.
+        Sends a call to an endpoint and returns the answer.
     """
 
     def __init__(
         self,
         claims: Claims,
         ask_owner: AskOwner,
-        attempt: Callable[[Call], Awaitable[WholeAnswer]],
+        attempt: Callable[[Call], Awaitable[CompleteAnswer]],
     ) -> None:
         self.claims = claims
         self.ask_owner = ask_owner
         self.attempt = attempt
 
-    async def run(self, call: Call) -> WholeAnswer:
-        """Run `call` unless its key was claimed before; then say what became of it.
+    async def run(self, call: Call) -> CompleteAnswer:
+        """Run `call`, or return the outcome of the request that claimed its key.
 
         Raises
         ------
         Refusal
-            With the truth about whether the request ran.
+            The request failed, or its key is held by another one; `ran` states whether
+            it ran.
         """
         digest = digest_of(call.organisation, call.request.idempotency_key)
         fingerprint = call.request.fingerprint
@@ -66,11 +72,11 @@
             remaining = call.deadline - asyncio.get_running_loop().time()
             held = await self.claims.claim(digest, fingerprint, remaining)
         if isinstance(held, Claim):
-            return await self._repeat(digest, fingerprint, held)
+            return await self._answer_retry(digest, fingerprint, held)
         call.claim = held
-        return await self._first(call, held)
+        return await self._run_claimed(call, held)
 
-    async def _first(self, call: Call, claim: OwnClaim) -> WholeAnswer:
+    async def _run_claimed(self, call: Call, claim: OwnClaim) -> CompleteAnswer:
         end = ClaimEnd.UNKNOWN
         try:
             answer = await self.attempt(call)
@@ -81,19 +87,19 @@
             raise
         finally:
             if end is ClaimEnd.RAN:
-                self._keep(claim.digest, answer)
+                self._store_answer(claim.digest, answer)
             self.claims.end(claim, end)
         return answer
 
-    def _keep(self, digest: bytes, answer: WholeAnswer) -> None:
-        if answer.passed_on or len(answer.body) > BODY_KEPT:
+    def _store_answer(self, digest: bytes, answer: CompleteAnswer) -> None:
+        if answer.already_sent or len(answer.body) > MAX_STORED_BODY_BYTES:
             return
         stored = StoredAnswer(answer.status, answer.headers, answer.body)
         self.claims.answers.put(digest, stored)
 
-    async def _repeat(
+    async def _answer_retry(
         self, digest: bytes, fingerprint: bytes, held: Claim
-    ) -> WholeAnswer:
+    ) -> CompleteAnswer:
         if held.fingerprint != fingerprint:
             detail = "the key was first used for another request"
             raise Refusal(ErrorKind.KEY_REUSED, detail)
@@ -104,17 +110,19 @@
             reply = self.outcome_of(request)
         else:
             reply = await self.ask_owner(held, digest)
-        return self._tell(reply, held)
+        return self._answer_from_outcome(reply, held)
 
-    def _tell(self, reply: peer_pb2.OutcomeReply, held: Claim) -> WholeAnswer:
+    def _answer_from_outcome(
+        self, reply: peer_pb2.OutcomeReply, held: Claim
+    ) -> CompleteAnswer:
         if reply.state == peer_pb2.OutcomeReply.RUNNING:
             raise Refusal(ErrorKind.IN_PROGRESS, ran=Ran.UNKNOWN)
         if reply.state == peer_pb2.OutcomeReply.NOT_RUN:
             raise Refusal(ErrorKind.NOT_RUN, "send the request again")
         ran = held.end is ClaimEnd.RAN or reply.state == peer_pb2.OutcomeReply.DONE
         if reply.status:
-            headers = {**reply.headers, REPLAYED: "true"}
-            return WholeAnswer(reply.status, headers, reply.body)
+            headers = {**reply.headers, REPLAYED_HEADER: "true"}
+            return CompleteAnswer(reply.status, headers, reply.body)
         if ran:
             detail = "it ran; its answer is no longer held"
             raise Refusal(ErrorKind.OUTCOME_UNKNOWN, detail, Ran.YES)
@@ -122,7 +130,10 @@
         raise Refusal(ErrorKind.OUTCOME_UNKNOWN, detail, Ran.UNKNOWN)
 
     def outcome_of(self, request: peer_pb2.OutcomeRequest) -> peer_pb2.OutcomeReply:
-        """Say what became of a request whose key was claimed here."""
+        """Return the outcome of a request whose key was claimed by this router.
+
+        The reply is empty if the claim was made by another incarnation.
+        """
         reply = peer_pb2.OutcomeReply()
         if request.incarnation != self.claims.own.incarnation:
             return reply
--- a/carawayfold/coordination/requests/relay.py
+++ b/carawayfold/coordination/requests/relay.py
@@ -1,4 +1,4 @@
-"""Carrying one answer from an endpoint to its caller."""
+"""Sends a request to one endpoint and returns or streams its answer to the caller."""
 
 from __future__ import annotations
 
@@ -19,35 +19,41 @@
     from carawayfold.transport.client import Connection, Head, HttpClient
     from carawayfold.transport.server import EdgeServer
 
-#: Bytes of an answer kept before it is passed on in pieces.
-WHOLE_LIMIT = 1 << 20
-#: Times that a broken stream is resumed.
-RESUMES = 3
-#: Status codes by which an endpoint says that it did not run a request.
-DECLINED = (503,)
-#: Header by which an engine offers to resume a stream.
+#: Bytes of an answer that are buffered before it is streamed to the caller.
+MAX_BUFFERED_BYTES = 1 << 20
+#: Resumptions of one interrupted stream.
+MAX_RESUMES = 3
+#: HTTP statuses with which an endpoint states that it did not run a request.
+DECLINED_STATUSES = (503,)
+#: Header with which an endpoint states that its stream can be resumed.
 RESUME_HEADER = "x-stream-resume"
-#: Headers of an endpoint's answer that are passed on.
-PASSED_BACK = ("content-type", "content-disposition", "etag", "location")
-#: Service units of one prompt byte; a token is about four bytes.
+#: Headers of an endpoint's answer that are sent to the caller.
+FORWARDED_HEADERS = ("content-type", "content-disposition", "etag", "location")
+#: Service units of one prompt byte; one token is about four bytes.
 PROMPT_COST = 0.25
-#: Service units of one second of an application call.
+#: Service units of one second of a request that is not a chat completion.
 SECOND_COST = 1000.0
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
-    """An answer that was received to its end.
+class CompleteAnswer(msgspec.Struct, frozen=True):
+    """An answer that was received completely.
 
     Attributes
     ----------
-    passed_on : bool
-        Whether the caller already got it in pieces.
+    status : int
+        HTTP status.
+    headers : dict of str to str
+        Headers to send to the caller, by lower-case name.
+    body : bytes
+        The body; empty if it was already sent.
+    already_sent : bool
+        Whether the answer was already streamed to the caller.
     """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    passed_on: bool = False
+    already_sent: bool = False
 
 
 class Relay:
@@ -58,24 +64,28 @@
     http : HttpClient
         Connections to endpoints.
     edge : EdgeServer
-        The caller's side.
+        Connections of callers.
     settings : Settings
-        Timeouts.
+        Source of `connect_timeout` and `silence`, both in seconds.
     request : CallerRequest
-        The request.
+        The request to send.
     response : Response
-        The caller's answer.
+        The answer to the caller.
     address : Address
-        The endpoint.
+        Address of the endpoint.
     once : bool
         Whether the request may run at most once.
 
     Attributes
     ----------
-    begun : bool
-        Whether the caller has received a part of the answer.
-    first_at : float
-        Loop time of the answer's first byte; 0 before.
+    answer_started : bool
+        Whether a part of the answer was sent to the caller.
+    first_byte_at : float
+        Loop time at which the first byte of the body was received; 0 before.
+    started_at : float
+        Loop time at which the attempt started.
+    failure_reason : str
+        Why the answer is unusable; empty if it is not.
     """
 
     def __init__(
@@ -99,53 +109,53 @@
         self.head: Head | None = None
         self.parts: list[bytes] = []
         self.size = 0
-        self.begun = False
-        self.first_at = 0.0
-        self.fault: str = ""
+        self.answer_started = False
+        self.first_byte_at = 0.0
+        self.failure_reason: str = ""
         self.connection: Connection | None = None
         self.started_at = asyncio.get_running_loop().time()
 
-    async def run(self) -> WholeAnswer:
-        """Send the request and carry its answer back.
+    async def run(self) -> CompleteAnswer:
+        """Send the request and return its answer, resuming an interrupted stream.
 
         Raises
         ------
         ExchangeError
-            The endpoint failed before any of the answer reached the caller.
+            The endpoint failed before any of the answer was sent to the caller.
         Refusal
-            The answer broke off after the caller had received a part of it, or
-            is not one to this request.
+            ``answer-broken``: the answer was interrupted after a part of it was sent
+            to the caller, or it belongs to another request.
         """
         request = self.request
         headers = [*request.headers, ("X-Request-Id", request.request_id)]
         await self._exchange(request.method, request.path, headers, request.body)
         resumes = 0
-        while self.scanner and self.begun and not self.scanner.finished:
-            if resumes == RESUMES or not self._can_resume():
-                raise self._broken("the stream ended before its closing event")
+        while self.scanner and self.answer_started and not self.scanner.finished:
+            if resumes == MAX_RESUMES or not self._can_resume():
+                raise self._broken_refusal("the stream ended before its closing event")
             resumes += 1
             self.scanner.drop_rest()
             path = f"/v1/streams/{request.request_id}?from={self.scanner.events}"
             await self._exchange("GET", path, headers[-1:], b"")
-        return self._whole()
+        return self._complete_answer()
 
     def _can_resume(self) -> bool:
-        return not self.fault and RESUME_HEADER in self.head.headers
+        return not self.failure_reason and RESUME_HEADER in self.head.headers
 
-    def _whole(self) -> WholeAnswer:
-        if self.fault:
-            raise self._broken(self.fault)
+    def _complete_answer(self) -> CompleteAnswer:
+        if self.failure_reason:
+            raise self._broken_refusal(self.failure_reason)
         if self.scanner and self.head.status == 200 and not self.scanner.finished:
-            raise self._broken("the stream ended before its closing event")
+            raise self._broken_refusal("the stream ended before its closing event")
         headers = {
             name: self.head.headers[name]
-            for name in PASSED_BACK
+            for name in FORWARDED_HEADERS
             if name in self.head.headers
         }
         body = b"".join(self.parts)
-        return WholeAnswer(self.head.status, headers, body, self.begun)
+        return CompleteAnswer(self.head.status, headers, body, self.answer_started)
 
-    def _broken(self, detail: str) -> Refusal:
+    def _broken_refusal(self, detail: str) -> Refusal:
         return Refusal(ErrorKind.ANSWER_BROKEN, detail, ran=Ran.UNKNOWN)
 
     async def _exchange(
@@ -163,11 +173,13 @@
         )
         exchange = self.connection.exchange
         try:
-            await self._watch(exchange.done)
+            await self._await_exchange(exchange.done)
         except ExchangeError as error:
-            if not self.begun:
+            if not self.answer_started:
                 raise
-            self.fault = self.fault or ("" if self._resumable() else str(error))
+            self.failure_reason = self.failure_reason or (
+                "" if self._resumable() else str(error)
+            )
         finally:
             if not exchange.done.done() or exchange.done.cancelled():
                 self.http.cancel(self.connection)
@@ -175,8 +187,15 @@
     def _resumable(self) -> bool:
         return self.scanner is not None and RESUME_HEADER in self.head.headers
 
-    async def _watch(self, done: asyncio.Future[None]) -> None:
-        """Wait for `done`, giving up on a connection that has gone silent."""
+    async def _await_exchange(self, done: asyncio.Future[None]) -> None:
+        """Wait for `done`; cancel a connection on which no byte arrives in time.
+
+        Raises
+        ------
+        ExchangeError
+            The exchange failed, or the connection was silent for `connect_timeout`
+            (before it was established) or `silence` seconds.
+        """
         loop = asyncio.get_running_loop()
         connection = self.connection
         exchange = connection.exchange
@@ -185,77 +204,77 @@
             limit = (
                 self.settings.connect_timeout if connecting else self.settings.silence
             )
-            quiet = loop.time() - connection.heard
-            if quiet >= limit:
+            silent_for = loop.time() - connection.heard
+            if silent_for >= limit:
                 phase = Phase.CONNECTING if connecting else exchange.phase
                 self.http.cancel(connection)
                 raise ExchangeError(phase, "the endpoint has gone silent")
-            await asyncio.wait({done}, timeout=limit - quiet)
+            await asyncio.wait({done}, timeout=limit - silent_for)
         done.result()
 
     def _on_head(self, head: Head) -> None:
         if self.head is None:
             self.head = head
         elif head.status != 200:
-            self._stop("the endpoint does not resume the stream")
+            self._abort("the endpoint does not resume the stream")
             return
         echoed = head.headers.get("x-request-id")
         if echoed is not None and echoed != self.request.request_id:
-            self._stop("the endpoint answered another request")
+            self._abort("the endpoint answered another request")
 
     def _on_data(self, data: bytes) -> None:
-        if self.fault:
+        if self.failure_reason:
             return
-        if not self.first_at:
-            self.first_at = asyncio.get_running_loop().time()
+        if not self.first_byte_at:
+            self.first_byte_at = asyncio.get_running_loop().time()
         if self.scanner is not None and self.head.status == 200:
-            self._pass_events(data)
-        elif self.begun:
+            self._forward_events(data)
+        elif self.answer_started:
             self.size += len(data)
             self.edge.send(self.response, data)
         else:
-            self._collect(data)
+            self._buffer(data)
 
-    def _pass_events(self, data: bytes) -> None:
+    def _forward_events(self, data: bytes) -> None:
         try:
             events = self.scanner.feed(data)
         except ValueError as error:
-            self._stop(str(error))
+            self._abort(str(error))
             return
         if not events:
             return
-        if not self.begun:
-            self._begin()
+        if not self.answer_started:
+            self._start_answer()
         self.edge.send(self.response, events)
 
-    def _collect(self, data: bytes) -> None:
+    def _buffer(self, data: bytes) -> None:
         self.parts.append(data)
         self.size += len(data)
-        if self.size <= WHOLE_LIMIT or self.head.status in DECLINED:
+        if self.size <= MAX_BUFFERED_BYTES or self.head.status in DECLINED_STATUSES:
             return
-        self._begin()
+        self._start_answer()
         self.edge.send(self.response, b"".join(self.parts))
         self.parts.clear()
 
-    def _begin(self) -> None:
-        self.begun = True
+    def _start_answer(self) -> None:
+        self.answer_started = True
         self.response.status = self.head.status
-        for name in PASSED_BACK:
+        for name in FORWARDED_HEADERS:
             if name in self.head.headers:
                 self.response.headers[name.title()] = self.head.headers[name]
         self.edge.begin(self.response)
 
-    def _stop(self, fault: str) -> None:
-        """Take nothing more of an answer that is wrong."""
-        self.fault = fault
+    def _abort(self, failure_reason: str) -> None:
+        """Cancel the exchange of an invalid answer."""
+        self.failure_reason = failure_reason
         exchange = self.connection.exchange
         self.http.cancel(self.connection)
         if exchange is not None and not exchange.done.done():
-            exchange.done.set_exception(ExchangeError(Phase.ANSWERING, fault))
+            exchange.done.set_exception(ExchangeError(Phase.ANSWERING, failure_reason))
 
     def service_received(self) -> float:
-        """Return the service units that this attempt has used so far."""
-        if self.head is None or self.head.status in DECLINED:
+        """Return the service units that this attempt has consumed so far."""
+        if self.head is None or self.head.status in DECLINED_STATUSES:
             return 0.0
         if not self.request.chat:
             elapsed = asyncio.get_running_loop().time() - self.started_at
--- a/carawayfold/coordination/requests/shedding.py
+++ b/carawayfold/coordination/requests/shedding.py
@@ -1,4 +1,4 @@
-"""Counts and logs requests that were refused because this process was too late."""
+"""Counts and logs requests that were refused because this process is overloaded."""
 
 from __future__ import annotations
 
@@ -14,47 +14,58 @@
 
 logger = logbook.Logger(__name__)
 
-#: Lines a second on such refusals: a process that is late has no time for more. The
-#: next line says how many were left out.
-LINES_PER_SECOND = 20
+#: Log lines a second on such refusals, since logging more would add to the overload.
+#: The next line states how many were suppressed.
+MAX_LINES_PER_SECOND = 20
 
 
 class ShedLog:
-    """Notes each refusal, and writes a line on some of them.
+    """Counts each refusal and logs at most `MAX_LINES_PER_SECOND` of them.
+
+    Parameters
+    ----------
+    metrics : ForwardMetrics
+        Where refusals are counted by kind.
 
     Attributes
     ----------
     count : int
-        Requests refused since the start.
+        Requests refused since the start of the process.
+    suppressed : int
+        Refusals since the last log line that were not logged.
+    current_second : int
+        Second of loop time to which `lines_this_second` applies.
+    lines_this_second : int
+        Lines logged in that second.
     """
 
     def __init__(self, metrics: ForwardMetrics) -> None:
         self.metrics = metrics
         self.loop = asyncio.get_running_loop()
         self.count = 0
-        self.left_out = 0
-        self.second = 0
-        self.lines = 0
+        self.suppressed = 0
+        self.current_second = 0
+        self.lines_this_second = 0
 
     def note(self, request: str) -> None:
-        """Note the refusal of a request."""
+        """Count the refusal of the request with the id `request`."""
         self.count += 1
         self.metrics.refused(ErrorKind.OVERLOADED)
-        second = int(self.loop.time())
-        if second != self.second:
-            self.second = second
-            self.lines = 0
-        if self.lines >= LINES_PER_SECOND:
-            self.left_out += 1
+        current_second = int(self.loop.time())
+        if current_second != self.current_second:
+            self.current_second = current_second
+            self.lines_this_second = 0
+        if self.lines_this_second >= MAX_LINES_PER_SECOND:
+            self.suppressed += 1
             return
-        self.lines += 1
+        self.lines_this_second += 1
         logger.info(
             "request refused",
             extra={
                 "request": request,
                 "kind": ErrorKind.OVERLOADED.value,
                 "reason": "this instance is too busy",
-                "left_out_before": self.left_out,
+                "left_out_before": self.suppressed,
             },
         )
-        self.left_out = 0
+        self.suppressed = 0
--- a/tests/coordination/requests/test_calls.py
+++ b/tests/coordination/requests/test_calls.py
@@ -1,4 +1,4 @@
-"""The truth about a request over several attempts."""
+"""What a refusal states about a request after several attempts."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.builders import call, small_view
 
 
-class OneSlot:
-    """Grants one slot and then lets the deadline pass."""
+class SingleSlotDispatcher:
+    """Grants one slot, then refuses with ``deadline-exceeded``."""
 
     def __init__(self):
         self.granted = False
@@ -28,8 +28,8 @@
         return "survey-1"
 
 
-class NothingKnown:
-    """Knows of no content under which endpoints ended."""
+class EmptyContainment:
+    """Holds no content under which endpoints crashed."""
 
     def refuse_harmful(self, call):
         pass
@@ -39,13 +39,13 @@
 
 
 @pytest.mark.parametrize("ran", [Ran.UNKNOWN, Ran.NO])
-def test_refusal_after_a_retry_tells_what_the_first_attempt_may_have_done(ran):
+def test_refusal_after_a_retry_states_whether_the_first_attempt_may_have_run(ran):
     handler = CallHandler.__new__(CallHandler)
-    handler.dispatcher = OneSlot()
+    handler.dispatcher = SingleSlotDispatcher()
     handler.view = small_view()
     handler.stopping = False
     handler.budget = RetryBudget(1.0)
-    handler.containment = NothingKnown()
+    handler.containment = EmptyContainment()
 
     async def fail(*_):
         raise AttemptFailed(Refusal(ErrorKind.ENDPOINT_FAILED, ran=ran))
