--- a/carawayfold/gateway_settings.py
+++ b/carawayfold/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The declared settings of a router that forwards, and their checks."""
+"""Declares the settings of a forwarding router and checks their values."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     REQUIRED,
     Address,
     Setting,
-    address,
-    between,
     check_table,
+    in_range,
     not_empty,
     one_of,
     read_object,
+    valid_address,
 )
 from carawayfold.state.budget import BudgetBounds
 from carawayfold.state.ids import DataCentreId, RegionId, RouterId
@@ -25,42 +25,120 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-#: Part of the descriptors for callers' connections. A request holds one connection
-#: of a caller and one to an endpoint, and idle ones of callers come on top.
-CALLERS_PART = 0.55
+#: Share of the file descriptors for callers' connections. A request uses one connection
+#: of a caller and one to an endpoint; idle connections of callers are additional.
+CALLER_DESCRIPTOR_SHARE = 0.55
 
 
-def region_names(value: dict[str, Any]) -> str:
-    """Accept data centres with the names of their regions."""
+def valid_regions(value: dict[str, Any]) -> str:
+    """Check for a mapping of data centres to names of regions."""
     for data_centre, region in value.items():
         if not isinstance(region, str) or not region:
-            return f"the region of {data_centre} must be a text that is not empty"
+            return f"the region of {data_centre} must be a non-empty string"
     return ""
 
 
-#: Every setting of a router that forwards.
+#: All settings of a forwarding router.
 TABLE: tuple[Setting, ...] = (
     Setting("router", str, REQUIRED, "", not_empty, "Name of this instance."),
-    Setting("data_centre", str, REQUIRED, "", not_empty, "Where it stands."),
-    Setting("listen", str, REQUIRED, "", address, "Callers' HTTP address."),
-    Setting("ready_listen", str, REQUIRED, "", address, "The balancer's checks."),
-    Setting("peer_listen", str, REQUIRED, "", address, "Peers (UDP, HTTP), metrics."),
-    Setting("store", str, REQUIRED, "", address, "The platform's store."),
-    Setting("core_share", float, 1.0, "", between(0.01, 64), "Of a core, for it."),
-    Setting("core_speed", float, 1.0, "", between(0.01, 64), "To a usual core's."),
-    Setting("descriptors", int, 4096, "", between(256, 1e6), "Sockets, files."),
-    Setting("regions", dict, {}, "", region_names, "Region of each data centre."),
-    Setting("stop_grace", float, 8.0, "s", between(0, 3600), "From SIGTERM to kill."),
-    Setting("retry_ratio", float, 0.2, "", between(0, 1), "Repeats a request."),
-    Setting("retry_extra", float, 10.0, "", between(0, 1e6), "Repeats besides."),
-    Setting("retry_window", float, 10.0, "s", between(0.1, 600), "Of both."),
-    Setting("share_window", float, 4.0, "s", between(0.1, 600), "Of fair shares."),
-    Setting("log_level", str, "info", "", one_of(*LOG_LEVELS), "Least level shown."),
+    Setting(
+        "data_centre", str, REQUIRED, "", not_empty, "Data centre of this instance."
+    ),
+    Setting(
+        "listen",
+        str,
+        REQUIRED,
+        "",
+        valid_address,
+        "Address for callers' HTTP requests.",
+    ),
+    Setting(
+        "ready_listen",
+        str,
+        REQUIRED,
+        "",
+        valid_address,
+        "Address for the load balancer's health checks.",
+    ),
+    Setting(
+        "peer_listen",
+        str,
+        REQUIRED,
+        "",
+        valid_address,
+        "Address for peers (UDP and HTTP) and metrics.",
+    ),
+    Setting(
+        "store", str, REQUIRED, "", valid_address, "Address of the platform's store."
+    ),
+    Setting(
+        "core_share",
+        float,
+        1.0,
+        "",
+        in_range(0.01, 64),
+        "Processor cores available to this instance.",
+    ),
+    Setting(
+        "core_speed",
+        float,
+        1.0,
+        "",
+        in_range(0.01, 64),
+        "Speed of one core, relative to a standard core.",
+    ),
+    Setting(
+        "descriptors",
+        int,
+        4096,
+        "",
+        in_range(256, 1e6),
+        "Most file descriptors, for sockets and files.",
+    ),
+    Setting("regions", dict, {}, "", valid_regions, "Region of each data centre."),
+    Setting(
+        "stop_grace",
+        float,
+        8.0,
+        "s",
+        in_range(0, 3600),
+        "Seconds from SIGTERM until the process is killed.",
+    ),
+    Setting(
+        "retry_ratio", float, 0.2, "", in_range(0, 1), "Retries allowed per request."
+    ),
+    Setting(
+        "retry_extra",
+        float,
+        10.0,
+        "",
+        in_range(0, 1e6),
+        "Retries of the fleet allowed in each window besides these.",
+    ),
+    Setting(
+        "retry_window",
+        float,
+        10.0,
+        "s",
+        in_range(0.1, 600),
+        "Window in which requests and retries are counted.",
+    ),
+    Setting(
+        "share_window",
+        float,
+        4.0,
+        "s",
+        in_range(0.1, 600),
+        "Window over which shares of the organisations are balanced.",
+    ),
+    Setting(
+        "log_level", str, "info", "", one_of(*LOG_LEVELS), "Least level that is logged."
+    ),
 )
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
-    """Checked settings; see `TABLE` for units and meaning."""
+    """Checked settings; `TABLE` states their units and meaning."""
 
     router: RouterId
     data_centre: DataCentreId
@@ -81,22 +159,22 @@
 
     @property
     def processor(self) -> int:
-        """Return what the processor can do, in hundredths of a usual core."""
+        """Return the processor capacity, in hundredths of a standard core."""
         return max(1, round(100 * self.core_share * self.core_speed))
 
     @property
     def connections(self) -> int:
-        """Return the most connections of callers; the rest is for endpoints' ones."""
-        return int(self.descriptors * CALLERS_PART)
+        """Return the limit of callers' connections; the rest is for endpoints."""
+        return int(self.descriptors * CALLER_DESCRIPTOR_SHARE)
 
     @property
     def budget(self) -> BudgetBounds:
-        """Return the fleet's bounds on repeats."""
+        """Return the fleet's limits on retries."""
         return BudgetBounds(self.retry_ratio, self.retry_extra, self.retry_window)
 
 
 def load(path: Path) -> Result[GatewaySettings, list[str]]:
-    """Read and check the settings file at `path`, JSON with comments."""
+    """Read and check the settings file at `path`, a JSON file with comments."""
     values = read_object(path)
     if values.is_error():
         return values
@@ -104,7 +182,7 @@
 
 
 def check(values: dict[str, Any], source: str) -> Result[GatewaySettings, list[str]]:
-    """Check `values`, read from `source`, against the table."""
+    """Check `values`, read from the file `source`, against `TABLE`."""
     checked = check_table(TABLE, values, source)
     if checked.is_error():
         return checked
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -39,14 +39,14 @@
     ("changes", "words"),
     [
         ({"colour": 1}, ["colour", "no such setting", "listen"]),
-        ({"listen": "localhost:80"}, ["listen", "IP number"]),
+        ({"listen": "localhost:80"}, ["listen", "IP address"]),
         ({"queue_total": "many"}, ["queue_total", "int"]),
         ({"scheduling": "random"}, ["scheduling", "granted"]),
         ({"retry_budget": 2}, ["retry_budget", "0 to 1"]),
         ({"fleet_secret": "short"}, ["fleet_secret", "16"]),
     ],
 )
-def test_faults_name_the_file_the_setting_and_what_is_allowed(changes, words):
+def test_errors_name_the_file_the_setting_and_the_allowed_values(changes, words):
     faults = settings.check(values(**changes), "router.json").error
     assert len(faults) == 1
     assert all(word in faults[0] for word in ["router.json", *words])
@@ -63,6 +63,6 @@
         st.none() | st.text() | st.integers() | st.lists(st.integers()),
     )
 )
-def test_any_value_is_taken_or_named(changes):
+def test_any_value_is_accepted_or_gives_an_error(changes):
     result = settings.check(values(**changes), "router.json")
     assert result.is_ok() or result.error
