--- a/carawayfold/coordination/requests/claims.py
+++ b/carawayfold/coordination/requests/claims.py
@@ -129,7 +129,7 @@
     # Making claims
 
     def find(self, digest: bytes) -> Claim | None:
-        """Return the claim that holds a key, None if none is known."""
+        """Return the claim that holds a key, None if the log read so far has none."""
         return self.book.find(digest, asyncio.get_running_loop().time())
 
     async def claim(
--- a/carawayfold/coordination/requests/shedding.py
+++ b/carawayfold/coordination/requests/shedding.py
@@ -20,7 +20,7 @@
 
 
 class ShedLog:
-    """Counts each refusal and logs at most `MAX_LINES_PER_SECOND` of them.
+    """Counts refusals and logs at most `MAX_LINES_PER_SECOND` of them a second.
 
     Parameters
     ----------
