--- a/carawayfold/coordination/__init__.py
+++ b/carawayfold/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that routers take together: membership, scheduling, claims."""
+"""Decisions that span the fleet: membership, scheduling, containment, claims."""
--- a/carawayfold/coordination/backoff.py
+++ b/carawayfold/coordination/backoff.py
@@ -1,4 +1,4 @@
-"""Growing pauses between calls of a store that fails."""
+"""Exponential backoff between calls to a store that fails."""
 
 from __future__ import annotations
 
@@ -6,28 +6,34 @@
 
 import msgspec
 
-#: Seconds before the store is asked again after it failed, twice as long after each
-#: further failure, and the most: what comes meanwhile is told by peers, and a store
-#: that refuses every call still counts them.
-RETRY_WAIT = 0.25
-RETRY_WAIT_MOST = 1.0
+#: Seconds before the first retry of a failed store call, and the upper limit; the delay
+#: doubles after each further failure. Peers pass on new records meanwhile, and a store
+#: that rejects every call still counts the calls.
+MIN_RETRY_DELAY = 0.25
+MAX_RETRY_DELAY = 1.0
 
 
 class Backoff(msgspec.Struct):
-    """Growing pauses between calls of a store that fails."""
+    """Exponential backoff between calls to a store that fails.
 
-    pause: float = RETRY_WAIT
+    Attributes
+    ----------
+    pause : float
+        Seconds of the next delay.
+    """
+
+    pause: float = MIN_RETRY_DELAY
 
     def reset(self) -> None:
-        """Note that a call was answered."""
-        self.pause = RETRY_WAIT
+        """Return to the shortest delay, after a successful call."""
+        self.pause = MIN_RETRY_DELAY
 
     def next_pause(self) -> float:
-        """Return the seconds to pause, more the next time."""
+        """Return the next delay in seconds, and double it up to the limit."""
         pause = self.pause
-        self.pause = min(RETRY_WAIT_MOST, 2 * pause)
+        self.pause = min(MAX_RETRY_DELAY, 2 * pause)
         return pause
 
     async def wait(self) -> None:
-        """Pause, for longer the next time."""
+        """Sleep for the next delay."""
         await asyncio.sleep(self.next_pause())
--- a/carawayfold/coordination/fleet/__init__.py
+++ b/carawayfold/coordination/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The routers: who is there, who decides, and who reads the store."""
+"""Fleet membership, choice of leaders and hubs, and choice of store readers."""
--- a/carawayfold/coordination/fleet/directory.py
+++ b/carawayfold/coordination/fleet/directory.py
@@ -1,4 +1,4 @@
-"""Writes this router's entry to the store and looks for the others' entries."""
+"""Registers this router in the store and reads the entries of the others."""
 
 from __future__ import annotations
 
@@ -19,37 +19,43 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds between looks at the routers' entries. A router that starts writes its own
-#: entry before it reads, and calls all others, so two that start together find each
-#: other by the later one's read; the looks are for what was lost on the way.
+#: Seconds between reads of the routers' entries. A router that starts writes its own
+#: entry before it reads the others and sends them a heartbeat, so of two routers that
+#: start together the one that reads later finds the other. The periodic reads make up
+#: for lost datagrams.
 DIRECTORY_INTERVAL = 15.0
-#: The same for each known router, so that the calls of a large fleet add up to no
-#: more than one a second.
+#: Seconds between reads for each known router: the fleet as a whole reads the entries
+#: at most once a second.
 DIRECTORY_INTERVAL_PER_ROUTER = 1.0
 
-
-#: Seconds for which what a router wrote may be missing from a copy of the store; what
-#: is missing for longer is found when the entries are looked at.
-COPY_AGE = 60.0
-#: Seconds over which the routers of a fleet spread what they write again.
-COPY_SPREAD = 1.0
+#: Seconds for which an entry may be missing from a restored copy of the store; an older
+#: entry that is missing is detected by the periodic read.
+MAX_COPY_AGE = 60.0
+#: Seconds over which the routers of a fleet spread the writes after a restore.
+COPY_JITTER = 1.0
 
 
 async def join(
     directory: PeerDirectory,
     entry: PeerEntry,
     fleet: Fleet,
-    take_records: Callable[[list[QuarantineRecord]], None],
-    copied: asyncio.Event,
+    on_quarantine_records: Callable[[list[QuarantineRecord]], None],
+    store_restored: asyncio.Event,
 ) -> None:
-    """Write this router's entry, then look for others for ever.
+    """Write this router's entry, then read the others' entries until cancelled.
 
     Parameters
     ----------
-    take_records : callable
-        Takes the refused contents that stand beside the entries.
-    copied : asyncio.Event
-        Set whenever the store has come back from a copy.
+    directory : PeerDirectory
+        The entries in the store.
+    entry : PeerEntry
+        This router's entry; written again when a read does not contain it.
+    fleet : Fleet
+        Receives the entries that were read.
+    on_quarantine_records : callable
+        Receives the quarantine records that are stored beside the entries.
+    store_restored : asyncio.Event
+        Set whenever the store was restored from a copy.
     """
     loop = asyncio.get_running_loop()
     await _announce(directory, entry)
@@ -59,44 +65,49 @@
         try:
             page = await directory.newest()
         except SourceError as error:
-            logger.debug("routers not read", extra={"reason": str(error)})
+            logger.debug("router entries not read", extra={"reason": str(error)})
             await backoff.wait()
             continue
         backoff.reset()
         entries = [item for item in page.items if isinstance(item, PeerEntry)]
         fleet.learn(entries)
-        take_records([x for x in page.items if isinstance(x, QuarantineRecord)])
+        on_quarantine_records(
+            [x for x in page.items if isinstance(x, QuarantineRecord)]
+        )
         fleet.listed.set()
         if entry not in entries:
             await _announce(directory, entry)
             announced_at = loop.time()
         pause = DIRECTORY_INTERVAL_PER_ROUTER * len(fleet.addresses)
-        due = loop.time() + max(DIRECTORY_INTERVAL, pause)
-        while await _is_copied(copied, due):
-            if loop.time() - announced_at < COPY_AGE:
-                await asyncio.sleep(random.uniform(0, COPY_SPREAD))
+        next_read_at = loop.time() + max(DIRECTORY_INTERVAL, pause)
+        while await _is_store_restored(store_restored, next_read_at):
+            if loop.time() - announced_at < MAX_COPY_AGE:
+                await asyncio.sleep(random.uniform(0, COPY_JITTER))
                 await _announce(directory, entry)
                 announced_at = loop.time()
 
 
-async def _is_copied(copied: asyncio.Event, due: float) -> bool:
-    """Wait until the store has come back from a copy; return whether before `due`."""
+async def _is_store_restored(
+    store_restored: asyncio.Event, next_read_at: float
+) -> bool:
+    """Wait for a restore of the store; return whether one came before the next read."""
     try:
-        async with asyncio.timeout_at(due):
-            await copied.wait()
+        async with asyncio.timeout_at(next_read_at):
+            await store_restored.wait()
     except TimeoutError:
         return False
-    copied.clear()
+    store_restored.clear()
     return True
 
 
 async def _announce(directory: PeerDirectory, entry: PeerEntry) -> None:
+    """Write this router's entry, with retries until it succeeds."""
     backoff = Backoff()
     while True:
         try:
             await directory.announce(entry)
         except SourceError as error:
-            logger.debug("not announced yet", extra={"reason": str(error)})
+            logger.debug("router entry not written yet", extra={"reason": str(error)})
             await backoff.wait()
         else:
             return
--- a/carawayfold/coordination/fleet/fleet.py
+++ b/carawayfold/coordination/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""Heartbeats between the routers of the fleet, and who of them decides."""
+"""Heartbeats between the routers of the fleet, and the leaders among them."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 import msgspec
 
 from carawayfold.coordination.fleet.hubs import (
-    LEAF_INTERVAL,
+    LEAF_HEARTBEAT_INTERVAL,
     MESH_MOST,
     Role,
     choose_hubs,
-    fingerprint,
-    listed_member,
-    main_hub,
+    hubs_checksum,
+    member_from_entry,
+    primary_hub,
     role_of_hub,
 )
-from carawayfold.coordination.fleet.listeners import Listeners
+from carawayfold.coordination.fleet.listeners import HeartbeatRecipients
 from carawayfold.coordination.fleet.membership import (
     Member,
     Membership,
     PeerState,
-    share_out,
+    assign_leaders,
 )
-from carawayfold.coordination.fleet.rosters import Rosters
+from carawayfold.coordination.fleet.rosters import HubLists
 from carawayfold.coordination.fleet.suspects import Suspects
 from carawayfold.protocol.datagrams import Beat, RosterMessage
 from carawayfold.protocol.sources import PeerEntry
@@ -42,119 +42,121 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds between heartbeats among a few routers.
-BEAT_INTERVAL = 0.15
-#: Seconds added to the interval for each further peer, so that what a router sends
-#: and takes for heartbeats stays the same from some twenty routers on.
-BEAT_INTERVAL_PER_PEER = 0.005
-#: Peers up to which nothing is added.
-FEW_PEERS = 8
-#: Intervals without a heartbeat after which a peer is taken for dead; at 3 % loss
-#: a live one is mistaken once in a million intervals.
-SILENT_BEATS = 4
-#: Intervals without a heartbeat that confirm what another router suspects.
-DOUBTED_BEATS = 1.5
-#: Heartbeats after which a router that hears no hub counts on having heard everyone
-#: of its data centre that does not hear one either.
-LOST_BEATS = 2
-#: Seconds for which changes of the hubs are gathered before what depends on them is
-#: worked out anew: a fleet that starts changes two hundred times in a second.
-CHANGE_DELAY = 0.01
-#: Seconds for which a router that did not keep up with its work decides for nobody: it
-#: would be late again at once, and each change of the decider loses what that knew.
-LATE_FOR = 10.0
-#: Seconds after which the entry of a silent router is no longer called.
-FORGET_AFTER = 60.0
+#: Seconds between heartbeats in a small fleet.
+HEARTBEAT_INTERVAL = 0.15
+#: Seconds added to the interval for each further peer, so that the rate of heartbeats
+#: sent and received by a router is constant from about twenty routers on.
+HEARTBEAT_INTERVAL_PER_PEER = 0.005
+#: Number of peers up to which the interval is not extended.
+MAX_PEERS_AT_BASE_INTERVAL = 8
+#: Heartbeat intervals of silence after which a peer is considered failed; at 3 %
+#: packet loss this is wrong once in a million intervals.
+FAILURE_HEARTBEATS = 4
+#: Heartbeat intervals of silence that confirm another router's suspicion of failure.
+CONFIRMATION_HEARTBEATS = 1.5
+#: Heartbeats after which a detached router is expected to have received heartbeats from
+#: all other detached routers of its data centre.
+DETACHED_HEARTBEATS = 2
+#: Seconds for which changes of the hubs are batched before their consequences are
+#: computed: the members of a starting fleet change two hundred times a second.
+MEMBERSHIP_CHANGE_DELAY = 0.01
+#: Seconds for which a router that did not keep up with its work does not lead.
+#: Otherwise it would lag again at once, and each change of a leader loses its state.
+LAGGING_DURATION = 10.0
+#: Seconds after which heartbeats to a silent router are no longer sent.
+FORGET_TIMEOUT = 60.0
 
 
 class Fleet:
-    """The routers that this one hears, or hears of.
+    """The routers known to this one, by heartbeat, entry in the store or list of hubs.
 
     Parameters
     ----------
     socket : PeerSocket
-        Where heartbeats go out.
+        Sends the heartbeats.
     own : Member
         This router.
-    beat : callable
-        Returns the heartbeat to send, without what this class adds.
+    make_heartbeat : callable
+        Returns the heartbeat to send, without the fields that this class fills in.
     on_change : callable
-        Called soon after a router that may decide came, went or began to stop.
+        Called shortly after the set of live hubs, or which of them lag, has changed.
 
     Attributes
     ----------
     addresses : dict
-        Where each router is reached that was listed or heard.
+        Address of each router, from its entry, its datagrams or a list of hubs.
     entries : dict
-        Every router that was listed.
-    beats : dict
-        Last heartbeat of each router that is heard.
-    beaten_at : dict
-        Loop time at which it came; a member may have been heard of since by others.
+        Entry of each router, from the store or made from its first heartbeat.
+    heartbeats : dict
+        Last heartbeat of each router that is not considered failed.
+    heartbeat_times : dict
+        Loop time at which it arrived; `Member.last_seen` may be later.
     """
 
     def __init__(
         self,
         socket: PeerSocket,
         own: Member,
-        beat: Callable[[], Beat],
+        make_heartbeat: Callable[[], Beat],
         on_change: Callable[[], None],
     ) -> None:
         self.socket = socket
         self.own = own
-        self.beat = beat
+        self.make_heartbeat = make_heartbeat
         self.on_change = on_change
         self.loop = asyncio.get_running_loop()
-        self.membership = Membership(own, self.loop.time, SILENT_BEATS * BEAT_INTERVAL)
+        self.membership = Membership(
+            own, self.loop.time, FAILURE_HEARTBEATS * HEARTBEAT_INTERVAL
+        )
         self.addresses: dict[RouterId, Address] = {}
         self.entries: dict[RouterId, PeerEntry] = {}
         self.beats: dict[RouterId, Beat] = {}
         self.beaten_at: dict[RouterId, float] = {}
-        #: Who leads on which subject, until the members change.
-        self.leading: dict[str, RouterId] = {}
-        #: Who is asked on which subject, until they or the suspects change.
-        self.deciding: dict[str, RouterId] = {}
-        #: When each router was last listed or heard, to stop calling lost ones.
-        self.seen: dict[RouterId, float] = {}
-        #: Set once the routers' entries have been read.
+        #: Leader of each subject; cleared when the members change.
+        self.leaders: dict[str, RouterId] = {}
+        #: Responsible router of each subject; cleared when members or suspects change.
+        self.responsible_routers: dict[str, RouterId] = {}
+        #: Loop time of each router's last datagram or new entry, to forget silent ones.
+        self.last_contact: dict[RouterId, float] = {}
+        #: Set once the routers' entries have been read from the store.
         self.listed = asyncio.Event()
         self.role = Role.MESH
         self.suspects = Suspects()
-        #: Heartbeats since this router last heard a hub of its data centre.
-        self.lost_beats = 0
-        #: Whether a hub has said that this router should be one.
-        self.named_hub = False
-        self.listeners = Listeners(self)
-        self.rosters = Rosters(self)
-        #: Loop time at which this router last did not keep up with its work.
-        self.late_at = -math.inf
-        self.change_due: asyncio.TimerHandle | None = None
-        self.known_hubs = fingerprint(self.hubs())
-
-    # Who there is
+        #: Heartbeats without a live hub of this data centre.
+        self.detached_heartbeats = 0
+        #: Whether the last list of hubs of this data centre contains this router.
+        self.listed_as_hub = False
+        self.recipients = HeartbeatRecipients(self)
+        self.hub_lists = HubLists(self)
+        #: Loop time at which this router last lagged behind its work.
+        self.lagging_at = -math.inf
+        self.change_timer: asyncio.TimerHandle | None = None
+        self.known_hubs_checksum = hubs_checksum(self.hubs())
+
+    # Members
 
     @property
     def size(self) -> int:
-        """Return how many routers there are, silent ones included."""
-        told = (beat.size for beat in self.beats.values())
-        return max(len(self.addresses) + 1, *told, 1)
+        """Return the number of routers in the fleet, including silent ones."""
+        reported = (heartbeat.size for heartbeat in self.beats.values())
+        return max(len(self.addresses) + 1, *reported, 1)
 
     @property
     def counted(self) -> int | None:
-        """Return how many routers there are, None for one that has not been told.
+        """Return the number of routers in the fleet, None while it is unknown.
 
-        It has neither read the routers' entries nor heard a peer, and may be one of
-        many.
+        It is unknown until this router has read the entries or received a heartbeat:
+        the fleet may be large.
         """
-        told = any(beat.size for beat in self.beats.values())
-        return self.size if told or self.listed.is_set() else None
+        reported = any(heartbeat.size for heartbeat in self.beats.values())
+        return self.size if reported or self.listed.is_set() else None
 
     def live(self) -> list[Member]:
-        """Return the routers that take new work, this one included."""
+        """Return the routers that accept new work, including this one."""
         return self.membership.live()
 
     def hubs(self) -> list[Member]:
-        """Return the routers that may decide for others."""
+        """Return the live hubs, the routers that may lead pools."""
         return [item for item in self.live() if item.hub]
 
     def near(self, data_centre: DataCentreId) -> list[Member]:
@@ -162,53 +164,58 @@
         return [item for item in self.live() if item.data_centre == data_centre]
 
     def expected_hubs(self) -> list[RouterId]:
-        """Return who should be the hubs of this data centre, by the entries."""
-        listed = [listed_member(item) for item in self.listed_near()]
+        """Return which listed routers should be hubs of this data centre."""
+        listed = [member_from_entry(item) for item in self.local_entries()]
         return [item.router for item in choose_hubs([*listed, self.own])]
 
     def near_hubs(self) -> list[Member]:
         """Return the other hubs of this data centre."""
-        near = self.near(self.own.data_centre)
-        return [item for item in near if item.hub and item is not self.own]
+        local = self.near(self.own.data_centre)
+        return [item for item in local if item.hub and item is not self.own]
 
     def leaves(self) -> list[Member]:
-        """Return the live routers of this data centre that are no hubs."""
-        near = self.near(self.own.data_centre)
-        return [item for item in near if not item.hub]
+        """Return the live routers of this data centre that are not hubs."""
+        local = self.near(self.own.data_centre)
+        return [item for item in local if not item.hub]
 
-    def listed_near(self) -> list[PeerEntry]:
+    def local_entries(self) -> list[PeerEntry]:
         """Return the entries of this data centre's other routers."""
-        place = self.own.data_centre
-        return [item for item in self.entries.values() if item.data_centre == place]
+        own = self.own.data_centre
+        return [item for item in self.entries.values() if item.data_centre == own]
 
     def leader(self, subject: str) -> RouterId:
-        """Return the router that decides on `subject`, by the heartbeats.
+        """Return the leader of `subject`, by the heartbeats.
 
         Subjects that differ in a number at their end, such as the pools of a service,
-        are shared out among those that may decide.
+        are distributed evenly among the candidates.
         """
-        known = self.leading.get(subject)
+        known = self.leaders.get(subject)
         if known is None:
             stem, _, number = subject.rpartition("/")
             count = int(number) + 1 if stem and number.isdecimal() else 0
-            like = [f"{stem}/{place}" for place in range(count)] or [subject]
-            self.leading.update(share_out(like, self.membership.deciders()))
-            known = self.leading[subject]
+            similar = [f"{stem}/{index}" for index in range(count)] or [subject]
+            self.leaders.update(
+                assign_leaders(similar, self.membership.leader_candidates())
+            )
+            known = self.leaders[subject]
         return known
 
     def responsible(self, subject: str) -> RouterId:
         """Return the router to ask for decisions on `subject`.
 
-        It is the one that leads, or the next in line where that one does not answer.
+        It is the leader, or the next in rank while the leader is a suspect. A router
+        with so many suspects that it considers itself isolated decides itself.
         """
         if self.suspects.until and self.suspects.expire(self.loop.time()):
-            self.deciding.clear()
-        known = self.deciding.get(subject)
+            self.responsible_routers.clear()
+        known = self.responsible_routers.get(subject)
         if known is None:
-            known = self.deciding[subject] = self._choose(subject)
+            known = self.responsible_routers[subject] = self._choose_responsible(
+                subject
+            )
         return known
 
-    def _choose(self, subject: str) -> RouterId:
+    def _choose_responsible(self, subject: str) -> RouterId:
         if not self.suspects.until:
             return self.leader(subject)
         leader = self.leader(subject)
@@ -219,25 +226,25 @@
         return self.membership.responsible(subject, leaving_out=self.suspects.until)
 
     def pick_known(self) -> RouterId:
-        """Return any router whose address is known, heard or not."""
+        """Return a random router whose address is known, live or not."""
         return random.choice(list(self.addresses))
 
-    # Learning of routers
+    # Discovery
 
     def learn(self, entries: Iterable[PeerEntry]) -> None:
-        """Take the routers' entries and say hello to those that are new."""
-        new = [item for item in entries if self._learn_one(item)]
+        """Add entries and send a heartbeat: to new routers in a mesh, else as usual."""
+        new = [item for item in entries if self._add_entry(item)]
         if not new:
             return
-        self._settle_role()
-        beat = self.own_beat()
+        self._update_role()
+        heartbeat = self.own_heartbeat()
         if self.role is Role.MESH:
             known = [self.addresses[item.router] for item in new]
-            self.socket.broadcast(known, beat)
+            self.socket.broadcast(known, heartbeat)
         else:
-            self.socket.broadcast(self.listeners.addresses(), beat)
+            self.socket.broadcast(self.recipients.addresses(), heartbeat)
 
-    def _learn_one(self, entry: PeerEntry) -> bool:
+    def _add_entry(self, entry: PeerEntry) -> bool:
         if entry.router == self.own.router:
             return False
         self.entries[entry.router] = entry
@@ -245,65 +252,71 @@
         if self.addresses.get(entry.router) == address:
             return False
         self.addresses[entry.router] = address
-        self.seen[entry.router] = self.loop.time()
+        self.last_contact[entry.router] = self.loop.time()
         return True
 
     def take(self, datagram: Datagram, source: Address) -> None:
-        """Note whom a datagram is from, its heartbeat, and the hubs that it tells."""
+        """Process the sender, the heartbeat and the lists of hubs of a datagram."""
         router = datagram.sender
         self.addresses[router] = source
-        self.seen[router] = self.loop.time()
+        self.last_contact[router] = self.loop.time()
         if self.suspects.clear(router):
-            self.deciding.clear()
+            self.responsible_routers.clear()
         for message in datagram.messages:
             if type(message) is Beat:
-                self._take_beat(router, datagram.incarnation, message)
+                self._take_heartbeat(router, datagram.incarnation, message)
             elif type(message) is RosterMessage:
-                self.rosters.take(router, message)
+                self.hub_lists.take(router, message)
 
-    def _take_beat(self, router: RouterId, incarnation: int, beat: Beat) -> None:
-        self.beats[router] = beat
+    def _take_heartbeat(
+        self, router: RouterId, incarnation: int, heartbeat: Beat
+    ) -> None:
+        self.beats[router] = heartbeat
         self.beaten_at[router] = self.loop.time()
         if router not in self.entries:
-            self._note_entry(router, beat)
+            self._add_entry_from_heartbeat(router, heartbeat)
         known = self.membership.members.get(router)
         before = (known.state, known.hub, known.late) if known is not None else None
         if known is None or known.incarnation != incarnation:
             self.membership.joined(
-                router, beat.data_centre, incarnation, beat.processor
+                router, heartbeat.data_centre, incarnation, heartbeat.processor
             )
-        self.membership.heard(router, beat.stopping)
+        self.membership.heard(router, heartbeat.stopping)
         member = self.membership.members[router]
-        member.hub = beat.hub
-        member.late = beat.late
-        # Hubs of other data centres beat to a leaf once, to find its hubs.
-        far = beat.data_centre != self.own.data_centre
-        member.told = self.role is Role.LEAF and far
+        member.hub = heartbeat.hub
+        member.late = heartbeat.late
+        # Hubs of other data centres send a leaf one heartbeat, to find its hubs.
+        remote = heartbeat.data_centre != self.own.data_centre
+        member.from_hub_list = self.role is Role.LEAF and remote
         if (member.state, member.hub, member.late) != before:
             extra = {
                 "router": router,
                 "state": member.state.value,
-                "hub": beat.hub,
-                "late": beat.late,
+                "hub": heartbeat.hub,
+                "late": heartbeat.late,
             }
-            logger.info("router heard", extra=extra)
-            self.changed()
-        self.rosters.answer(member, beat)
+            logger.info("router state changed", extra=extra)
+            self.schedule_change()
+        self.hub_lists.answer(member, heartbeat)
 
-    def _note_entry(self, router: RouterId, beat: Beat) -> None:
-        """Know a router that started after the entries were read."""
+    def _add_entry_from_heartbeat(self, router: RouterId, heartbeat: Beat) -> None:
+        """Add an entry for a router that started after the entries were read."""
         address = self.addresses[router]
         self.entries[router] = PeerEntry(
-            router, beat.data_centre, address.host, address.port, beat.processor
+            router,
+            heartbeat.data_centre,
+            address.host,
+            address.port,
+            heartbeat.processor,
         )
 
-    # Beating
+    # Sending heartbeats
 
     @property
     def interval(self) -> float:
         """Return the seconds between this router's heartbeats."""
         if self.role is Role.LEAF:
-            return LEAF_INTERVAL
+            return LEAF_HEARTBEAT_INTERVAL
         return self._mesh_interval()
 
     def _mesh_interval(self) -> float:
@@ -312,12 +325,14 @@
         elif self.role is Role.HUB:
             peers = len(self.hubs())
         else:
-            # Soon over, and nobody decides for others meanwhile.
+            # A detached router sends often: the role is short and none leads in it.
             peers = 0
-        return BEAT_INTERVAL + BEAT_INTERVAL_PER_PEER * max(0, peers - FEW_PEERS)
+        return HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL_PER_PEER * max(
+            0, peers - MAX_PEERS_AT_BASE_INTERVAL
+        )
 
     async def keep_beating(self) -> None:
-        """Send heartbeats for ever and notice who falls silent."""
+        """Send heartbeats and detect failed peers until cancelled."""
         while True:
             before = self.loop.time()
             interval = self.interval
@@ -325,53 +340,63 @@
             self.tick(self.loop.time() - before - interval)
 
     def tick(self, paused: float = 0.0) -> None:
-        """Send one heartbeat to each listener and drop silent peers.
+        """Send one heartbeat to each recipient and mark silent peers as failed.
 
         Parameters
         ----------
         paused : float
-            Seconds for which this process itself stood still; peers are not silent
-            because of that.
+            Seconds for which this process was suspended; they do not count as silence
+            of the peers.
         """
         self._expire(max(0.0, paused))
-        self._settle_role()
-        self._beat_to_all()
-        self._forget()
+        self._update_role()
+        self._send_to_recipients()
+        self._forget_silent_entries()
 
-    def _beat_to_all(self) -> None:
+    def _send_to_recipients(self) -> None:
         if self.role is Role.LEAF:
-            self._beat_to_hubs()
+            self._send_to_hubs()
         else:
-            told = 0 if self.role is Role.MESH else self.known_hubs
-            self.socket.broadcast(self.listeners.addresses(), self.own_beat(told))
+            checksum = 0 if self.role is Role.MESH else self.known_hubs_checksum
+            self.socket.broadcast(
+                self.recipients.addresses(), self.own_heartbeat(checksum)
+            )
 
-    def _beat_to_hubs(self) -> None:
-        """Beat to each hub of the data centre, to one of them with what is known."""
+    def _send_to_hubs(self) -> None:
+        """Send a heartbeat to the local hubs, to the primary one with a checksum."""
         hubs = self.near_hubs()
-        main = main_hub(self.own.router, hubs)
-        names = [hub.router for hub in hubs] + self.rosters.take_calls()
+        primary = primary_hub(self.own.router, hubs)
+        names = [hub.router for hub in hubs] + self.hub_lists.take_contacts()
         for name in dict.fromkeys(names):
-            told = self.known_hubs if name == main else 0
-            self.socket.broadcast([self.addresses[name]], self.own_beat(told))
+            checksum = self.known_hubs_checksum if name == primary else 0
+            self.socket.broadcast([self.addresses[name]], self.own_heartbeat(checksum))
+
+    def own_heartbeat(self, checksum: int = 0) -> Beat:
+        """Return the heartbeat to send.
 
-    def own_beat(self, roster: int = 0) -> Beat:
-        """Return the heartbeat to send, with a fingerprint for one that tells hubs."""
+        Parameters
+        ----------
+        checksum : int
+            Checksum of the known hubs, for recipients that send lists of hubs; else 0.
+        """
         size = len(self.addresses) + 1 if self.role is Role.MESH else self.size
         return msgspec.structs.replace(
-            self.beat(),
+            self.make_heartbeat(),
             hub=self.own.hub,
             size=size,
-            roster=roster,
+            roster=checksum,
             late=self.own.late,
         )
 
     def tell_near(self) -> None:
-        """Send a heartbeat now to the routers of this data centre that wait for it."""
+        """Send a heartbeat at once to the local routers, unless this is a leaf."""
         if self.role is Role.LEAF:
             return
-        near = self.near(self.own.data_centre)
-        names = [item.router for item in near if item.router in self.addresses]
-        self.socket.broadcast([self.addresses[name] for name in names], self.own_beat())
+        local = self.near(self.own.data_centre)
+        names = [item.router for item in local if item.router in self.addresses]
+        self.socket.broadcast(
+            [self.addresses[name] for name in names], self.own_heartbeat()
+        )
 
     def send(self, router: RouterId, message: Message) -> bool:
         """Send a message to a router; return whether its address is known."""
@@ -381,187 +406,200 @@
         return address is not None
 
     def send_to_all(self, message: Message) -> None:
-        """Send a message to every router that this one reaches; see `passed_on_to`."""
-        for router in self._reached():
+        """Send a message to all direct recipients; see `forward_recipients`."""
+        for router in self._direct_recipients():
             self.send(router, message)
 
-    def _reached(self) -> list[RouterId]:
+    def _direct_recipients(self) -> list[RouterId]:
         if self.role is Role.MESH:
             return list(self.addresses)
         if self.role is Role.LEAF:
             return [hub.router for hub in self.near_hubs()]
-        if self.role is Role.LOST:
-            return [entry.router for entry in self.listed_near()]
-        told = [*self.hubs(), *self.leaves()]
-        return [item.router for item in told if item is not self.own]
+        if self.role is Role.DETACHED:
+            return [entry.router for entry in self.local_entries()]
+        members = [*self.hubs(), *self.leaves()]
+        return [item.router for item in members if item is not self.own]
 
     def passed_on_to(self, sender: RouterId) -> list[RouterId]:
-        """Return whom to send what `sender` has sent to all that it reaches.
+        """Return the routers to forward a message to that `sender` has sent to all.
 
-        A hub reaches all hubs and the leaves of its data centre; a leaf its hubs only.
+        A hub sends to all hubs and to the leaves of its data centre, a leaf only to its
+        hubs; hubs forward to the routers that the sender does not send to.
         """
         member = self.membership.members.get(sender)
         if self.role is not Role.HUB or member is None:
             return []
         if not member.hub:
-            return [name for name in self._reached() if name != sender]
+            return [name for name in self._direct_recipients() if name != sender]
         if member.data_centre == self.own.data_centre:
             return []
-        return [leaf.router for leaf in self.leaves() if self.rosters.tells(leaf)]
+        return [
+            leaf.router
+            for leaf in self.leaves()
+            if self.hub_lists.is_responsible_for(leaf)
+        ]
 
-    # Losing routers
+    # Failure detection
 
     def _expire(self, paused: float) -> None:
-        mesh = SILENT_BEATS * self._mesh_interval() + paused
-        slow = SILENT_BEATS * LEAF_INTERVAL + paused
+        mesh = FAILURE_HEARTBEATS * self._mesh_interval() + paused
+        slow = FAILURE_HEARTBEATS * LEAF_HEARTBEAT_INTERVAL + paused
         by_hub = self.role is Role.HUB
 
-        def limit(member: Member) -> float:
+        def timeout_of(member: Member) -> float:
             if self.role is Role.MESH or (by_hub and member.hub):
                 return mesh
             return max(mesh, slow)
 
-        lost = self.membership.expire(limit)
-        for router in lost:
-            self._lost(router, "silent")
+        failed = self.membership.expire(timeout_of)
+        for router in failed:
+            self._record_failure(router, "silent")
 
-    def _drop_beat(self, router: RouterId) -> None:
+    def _remove_heartbeat(self, router: RouterId) -> None:
         self.beats.pop(router, None)
         self.beaten_at.pop(router, None)
 
-    def _lost(self, router: RouterId, reason: str) -> None:
-        self._drop_beat(router)
-        logger.info("router silent", extra={"router": router, "reason": reason})
-        self.changed()
+    def _record_failure(self, router: RouterId, reason: str) -> None:
+        self._remove_heartbeat(router)
+        logger.info("router failed", extra={"router": router, "reason": reason})
+        self.schedule_change()
 
     def unanswered(self, router: RouterId) -> None:
-        """Pass over a router that did not answer this one's offers."""
+        """Make a router that did not answer this one's offers a suspect."""
         self.suspects.note(router, self.loop.time())
-        self.deciding.clear()
+        self.responsible_routers.clear()
 
     def is_heard_since(self, router: RouterId, since: float) -> bool:
-        """Return whether anything of a router came after a loop time."""
-        return self.seen.get(router, -math.inf) > since
+        """Return whether a datagram of a router arrived after a loop time."""
+        return self.last_contact.get(router, -math.inf) > since
 
     def doubt(self, router: RouterId) -> None:
-        """Look at a router that another one takes for lost, since it asks this one."""
+        """Consider a router failed after a shorter silence, as another one suspects it.
+
+        Called when a router asks this one for a decision in place of the leader.
+        """
         member = self.membership.members.get(router)
-        if member is None or member is self.own or member.told:
+        if member is None or member is self.own or member.from_hub_list:
             return
         if member.state is not PeerState.LIVE:
             return
-        quiet = self.loop.time() - member.heard
-        if quiet > DOUBTED_BEATS * self.interval:
-            member.state = PeerState.SILENT
-            self._lost(router, "doubted")
+        silence = self.loop.time() - member.last_seen
+        if silence > CONFIRMATION_HEARTBEATS * self.interval:
+            member.state = PeerState.FAILED
+            self._record_failure(router, "doubted")
 
-    def _forget(self) -> None:
-        self.membership.forget_before(FORGET_AFTER)
+    def _forget_silent_entries(self) -> None:
+        self.membership.remove_failed(FORGET_TIMEOUT)
         if self.role is not Role.MESH:
-            # Most routers are never heard by most others.
+            # Outside a mesh most routers receive no datagrams from most others.
             return
-        oldest = self.loop.time() - FORGET_AFTER
-        for router, seen in list(self.seen.items()):
+        oldest = self.loop.time() - FORGET_TIMEOUT
+        for router, seen in list(self.last_contact.items()):
             if seen < oldest:
-                del self.seen[router]
+                del self.last_contact[router]
                 self.addresses.pop(router, None)
 
     # Roles
 
-    def _settle_role(self) -> None:
-        """Choose this router's role by what it hears now."""
+    def _update_role(self) -> None:
+        """Determine this router's role from the members that it knows now."""
         before = self.role
         self.role = self._next_role()
-        self.rosters.find_due()
+        self.hub_lists.find_promotions()
         self.own.hub = self.role in (Role.MESH, Role.HUB)
         if self.role is before:
             return
         extra = {"role": self.role.value, "before": before.value, "size": self.size}
         logger.info("role changed", extra=extra)
-        if self.role is not Role.LOST:
-            self.lost_beats = 0
+        if self.role is not Role.DETACHED:
+            self.detached_heartbeats = 0
         if self.role is Role.LEAF:
-            self.named_hub = False
-            self._drop_leaves()
-        self._turn_members()
-        self.changed()
+            self.listed_as_hub = False
+            self._remove_leaves()
+        self._update_remote_members()
+        self.schedule_change()
 
     def _next_role(self) -> Role:
         if self.own.state is not PeerState.LIVE:
             return self.role
         if self.size <= MESH_MOST:
             return Role.MESH
-        near = self.near(self.own.data_centre)
+        local = self.near(self.own.data_centre)
         if self.role in (Role.MESH, Role.HUB):
-            return role_of_hub(self.own, near, self.role)
-        if self.named_hub:
-            self.named_hub = False
+            return role_of_hub(self.own, local, self.role)
+        if self.listed_as_hub:
+            self.listed_as_hub = False
             return Role.HUB
         if self.near_hubs():
             return Role.LEAF
-        self.lost_beats += 1
-        alone_for_long = self.lost_beats > LOST_BEATS
-        chosen = self.own in choose_hubs(near)
-        return Role.HUB if alone_for_long and chosen else Role.LOST
+        self.detached_heartbeats += 1
+        waited = self.detached_heartbeats > DETACHED_HEARTBEATS
+        chosen = self.own in choose_hubs(local)
+        return Role.HUB if waited and chosen else Role.DETACHED
 
-    def _drop_leaves(self) -> None:
-        """Forget routers that beat to the hubs from now on, and not to this one."""
+    def _remove_leaves(self) -> None:
+        """Remove the other leaves, which send heartbeats to hubs only."""
         for member in self.leaves():
             if member is not self.own:
                 del self.membership.members[member.router]
-                self._drop_beat(member.router)
+                self._remove_heartbeat(member.router)
 
-    def _turn_members(self) -> None:
-        """Take hubs of other data centres by what is told, or by their own beats."""
-        by_telling = self.role is Role.LEAF
+    def _update_remote_members(self) -> None:
+        """Switch the members of other data centres between lists and own heartbeats.
+
+        A leaf knows them from lists of hubs, all others from their own heartbeats.
+        """
+        from_lists = self.role is Role.LEAF
         for member in self.membership.members.values():
             if member.data_centre == self.own.data_centre:
                 continue
-            if member.told and not by_telling:
-                # It gets as long as any other to be heard.
-                member.heard = self.loop.time()
-            member.told = by_telling
-
-    def changed(self) -> None:
-        """Work out anew, soon, what depends on who may decide."""
-        self.leading.clear()
-        self.deciding.clear()
-        if self.change_due is None:
-            self.change_due = self.loop.call_later(CHANGE_DELAY, self._settle_change)
-
-    def _settle_change(self) -> None:
-        self.change_due = None
-        known = fingerprint(self.hubs())
-        if known == self.known_hubs:
+            if member.from_hub_list and not from_lists:
+                # The silence timeout starts now, as for a new member.
+                member.last_seen = self.loop.time()
+            member.from_hub_list = from_lists
+
+    def schedule_change(self) -> None:
+        """Clear the chosen leaders and schedule the consequences of changed members."""
+        self.leaders.clear()
+        self.responsible_routers.clear()
+        if self.change_timer is None:
+            self.change_timer = self.loop.call_later(
+                MEMBERSHIP_CHANGE_DELAY, self._apply_change
+            )
+
+    def _apply_change(self) -> None:
+        self.change_timer = None
+        known = hubs_checksum(self.hubs())
+        if known == self.known_hubs_checksum:
             return
-        self.known_hubs = known
-        self.rosters.tell_leaves()
+        self.known_hubs_checksum = known
+        self.hub_lists.send_to_leaves()
         self.on_change()
 
     def note_late(self, late: bool) -> None:
-        """Note whether this router keeps up with its work; leave deciding if not."""
+        """Record whether this router lags behind its work; if so it does not lead."""
         now = self.loop.time()
         if late:
-            self.late_at = now
-        late = now - self.late_at < LATE_FOR
+            self.lagging_at = now
+        late = now - self.lagging_at < LAGGING_DURATION
         if late is self.own.late:
             return
         self.own.late = late
-        logger.info("deciding given up" if late else "deciding again")
-        self.changed()
+        logger.info("leadership given up" if late else "leadership resumed")
+        self.schedule_change()
 
     def stand_in_share(self) -> float:
-        """Return the part of each endpoint for a router that decides but not leads.
+        """Return the fraction of each endpoint's capacity that a non-leader may grant.
 
-        Others may stand in as well: hubs where one of them is not heard, and every
-        router where nobody is.
+        Other routers may decide in place of the leader at the same time: all hubs if
+        one hub does not respond, all routers if none does.
         """
         others = len(self.hubs()) if self.own.hub else self.size
         return 1.0 / max(1, others)
 
     def stop(self) -> None:
-        """Tell the peers that this router takes no new work."""
+        """Announce with a heartbeat that this router accepts no new work."""
         self.own.state = PeerState.STOPPING
-        self.listeners.leaves_told_at = 0.0
-        self._beat_to_all()
-        self.changed()
+        self.recipients.leaves_sent_at = 0.0
+        self._send_to_recipients()
+        self.schedule_change()
--- a/carawayfold/coordination/fleet/hubs.py
+++ b/carawayfold/coordination/fleet/hubs.py
@@ -1,11 +1,12 @@
-"""Which routers of a large fleet hear each other: those of a data centre meet at hubs.
-
-The load it answers: hundreds of routers, most of them on small instances. If each one
-beat to each other one, heartbeats would take more of a small instance than callers do,
-or would have to be so rare that a lost router is noticed after seconds. So in each data
-centre a few routers, the hubs, hear each other and the hubs of other data centres
-often, and all others, the leaves, beat to the hubs of their data centre and are told by
-them which hubs there are. Only hubs decide for others, since everyone knows them.
+"""Hubs and leaves: the topology of heartbeats in a large fleet.
+
+With hundreds of routers, most of them on small instances, a full mesh of heartbeats
+would use more of a small instance than the callers do, or the heartbeats would have to
+be so rare that a failed router is detected only after seconds. So a few routers of each
+data centre, the hubs, exchange frequent heartbeats with each other and with the hubs of
+other data centres. All other routers, the leaves, send heartbeats to the hubs of their
+data centre and receive the lists of hubs from them. Only hubs lead pools, since
+every router knows them.
 """
 
 from __future__ import annotations
@@ -15,7 +16,12 @@
 
 import xxhash
 
-from carawayfold.coordination.fleet.membership import Member, PeerState, rank, strongest
+from carawayfold.coordination.fleet.membership import (
+    Member,
+    PeerState,
+    most_powerful,
+    rank,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -23,80 +29,81 @@
     from carawayfold.protocol.sources import PeerEntry
     from carawayfold.state.ids import RouterId
 
-#: Routers up to which all beat to all: with an interval of 0.27 s for 32 of them,
-#: heartbeats take 240 datagrams a second, sent and taken, of a router.
+#: Fleet size up to which heartbeats form a full mesh. For 32 routers the interval is
+#: 0.27 s, and each router sends and receives 240 datagrams a second.
 MESH_MOST = 32
-#: Hubs of a data centre: the loss of two at the same moment leaves one.
-HUBS = 3
-#: Seconds between heartbeats of a leaf and the hubs of its data centre. Nobody waits
-#: for news of a leaf, and hubs tell at once when another hub is gone.
-LEAF_INTERVAL = 0.5
-#: What the members are ranked by as hubs.
-SUBJECT = "hub"
+#: Hubs of a data centre: if two fail at the same time, one is left.
+HUBS_PER_DATA_CENTRE = 3
+#: Seconds between heartbeats of a leaf and the hubs of its data centre. No router
+#: depends on quick detection of a failed leaf, and hubs report a failed hub at once.
+LEAF_HEARTBEAT_INTERVAL = 0.5
+#: Subject of the rendezvous hashing that ranks members as hubs.
+RANKING_SUBJECT = "hub"
 
 
 class Role(Enum):
-    """How this router takes part.
+    """Role of this router in the exchange of heartbeats.
 
     A small fleet is a mesh. In a large one a router is a hub, or a leaf of its data
-    centre's hubs, or lost while it hears none of them: it then beats to everyone of
-    its data centre and becomes a hub if it should be one of those that it hears.
+    centre's hubs, or detached while it receives heartbeats from none of them. A
+    detached router sends heartbeats to all routers of its data centre, and becomes a
+    hub if the choice among those that it knows to be live includes it.
     """
 
     MESH = "mesh"
     HUB = "hub"
     LEAF = "leaf"
-    LOST = "lost"
+    DETACHED = "lost"
 
 
 def choose_hubs(members: Iterable[Member]) -> list[Member]:
-    """Return who should be the hubs among the live members of one data centre.
+    """Return the members of one data centre that should be its hubs.
 
-    The strongest instances, and of equal ones the first by rendezvous hashing: a member
-    that comes or goes changes one place at most.
+    Those with the most powerful processors, and among equal ones the first by
+    rendezvous hashing: a member that is added or removed changes at most one hub.
     """
     left = [item for item in members if item.state is PeerState.LIVE]
     chosen: list[Member] = []
-    while left and len(chosen) < HUBS:
-        strong = strongest(left)
-        chosen += rank(SUBJECT, strong)[: HUBS - len(chosen)]
+    while left and len(chosen) < HUBS_PER_DATA_CENTRE:
+        strong = most_powerful(left)
+        chosen += rank(RANKING_SUBJECT, strong)[: HUBS_PER_DATA_CENTRE - len(chosen)]
         left = [item for item in left if item not in strong]
     return chosen
 
 
-def main_hub(router: RouterId, hubs: list[Member]) -> RouterId | None:
-    """Return which of its data centre's hubs tells a leaf about the others."""
+def primary_hub(router: RouterId, hubs: list[Member]) -> RouterId | None:
+    """Return the hub that sends the lists of hubs to leaf `router`, if there is one."""
     return rank(router, hubs)[0].router if hubs else None
 
 
-def fingerprint(hubs: Iterable[Member]) -> int:
-    """Return a number that is equal where the same is known of the same hubs."""
+def hubs_checksum(hubs: Iterable[Member]) -> int:
+    """Return a checksum of the hubs, their incarnations and whether they lag."""
     rows = sorted(f"{item.router}|{item.incarnation}|{item.late:d}" for item in hubs)
     return xxhash.xxh32_intdigest("\n".join(rows).encode())
 
 
-def role_of_hub(own: Member, near: list[Member], before: Role) -> Role:
-    """Return the role of a router of a large fleet that was a hub, or in a mesh.
+def role_of_hub(own: Member, local: list[Member], current: Role) -> Role:
+    """Return the next role of a hub, or of a mesh router, in a large fleet.
 
-    It stays a hub until those that should be hubs in its place all are.
+    It remains a hub until all routers that should replace it are hubs.
 
     Parameters
     ----------
     own : Member
         This router.
-    near : list of Member
-        The live routers of its data centre, itself included.
-    before : Role
-        Its role up to now.
+    local : list of Member
+        The live routers of its data centre, including itself.
+    current : Role
+        Its current role.
     """
-    chosen = choose_hubs(near)
+    chosen = choose_hubs(local)
     replaced = all(item.hub for item in chosen if item is not own)
     if own not in chosen and chosen and replaced:
         return Role.LEAF
-    alone = not any(item.hub for item in near if item is not own)
-    return Role.LOST if alone and before is Role.MESH else Role.HUB
+    alone = not any(item.hub for item in local if item is not own)
+    return Role.DETACHED if alone and current is Role.MESH else Role.HUB
 
 
-def listed_member(entry: PeerEntry) -> Member:
-    """Return a router as its entry tells of it, before it is heard."""
+def member_from_entry(entry: PeerEntry) -> Member:
+    """Return a member built from its entry, before its first heartbeat."""
     return Member(entry.router, entry.data_centre, 0, 0.0, processor=entry.processor)
--- a/carawayfold/coordination/fleet/listeners.py
+++ b/carawayfold/coordination/fleet/listeners.py
@@ -1,4 +1,4 @@
-"""Whom a router's heartbeats go to, by its role."""
+"""Recipients of a router's heartbeats, by its role."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from carawayfold.coordination.fleet.hubs import (
-    LEAF_INTERVAL,
+    LEAF_HEARTBEAT_INTERVAL,
     Role,
     choose_hubs,
-    listed_member,
+    member_from_entry,
 )
 from carawayfold.coordination.fleet.membership import PeerState
 
@@ -19,79 +19,79 @@
     from carawayfold.settings import Address
     from carawayfold.state.ids import DataCentreId, RouterId
 
-#: Routers of a data centre, besides those that should be its hubs, that are asked
-#: who its hubs are.
-ASKED_BESIDES = 2
+#: Random routers of a data centre with unknown hubs that get a heartbeat, besides those
+#: that should be its hubs; they reply with its list of hubs.
+EXTRA_HUB_QUERIES = 2
 
 
-class Listeners:
-    """Chooses who is told that this router is there.
+class HeartbeatRecipients:
+    """Chooses the routers that this router's heartbeats go to.
 
     Parameters
     ----------
     fleet : Fleet
-        The routers, as this one knows them.
+        Members and entries known to this router.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        #: When a hub last beat to its leaves.
-        self.leaves_told_at = 0.0
+        #: Loop time of a hub's last heartbeat to its leaves.
+        self.leaves_sent_at = 0.0
 
     def addresses(self) -> list[Address]:
-        """Return the addresses that this heartbeat goes to."""
+        """Return the addresses of the recipients of the next heartbeat."""
         fleet = self.fleet
         if fleet.role is Role.MESH:
             return list(fleet.addresses.values())
         if fleet.role is Role.LEAF:
             names = [item.router for item in fleet.near_hubs()]
-        elif fleet.role is Role.LOST:
-            names = [item.router for item in fleet.listed_near()]
+        elif fleet.role is Role.DETACHED:
+            names = [item.router for item in fleet.local_entries()]
         else:
-            names = self._heard_by_hub()
+            names = self._recipients_of_hub()
         known = fleet.addresses
         return [known[name] for name in names if name in known]
 
-    def _heard_by_hub(self) -> list[RouterId]:
-        # Those that stop are told as well: they finish what they have.
-        heard = [
+    def _recipients_of_hub(self) -> list[RouterId]:
+        # Stopping routers are included: they complete their requests in flight.
+        responsive = [
             item
             for item in self.fleet.membership.members.values()
-            if item is not self.fleet.own and item.state is not PeerState.SILENT
+            if item is not self.fleet.own and item.state is not PeerState.FAILED
         ]
-        names = [item.router for item in heard if item.hub]
+        names = [item.router for item in responsive if item.hub]
         now = self.fleet.loop.time()
-        if now - self.leaves_told_at >= LEAF_INTERVAL:
-            self.leaves_told_at = now
-            names += [item.router for item in heard if not item.hub]
+        if now - self.leaves_sent_at >= LEAF_HEARTBEAT_INTERVAL:
+            self.leaves_sent_at = now
+            names += [item.router for item in responsive if not item.hub]
         with_hub = {item.data_centre for item in self.fleet.hubs()}
         with_hub.add(self.fleet.own.data_centre)
-        names += self._unheard_near(alone=not self.fleet.near_hubs())
-        names += self.fleet.rosters.take_calls()
-        names += self._askable(with_hub)
+        names += self._unknown_local_routers(alone=not self.fleet.near_hubs())
+        names += self.fleet.hub_lists.take_contacts()
+        names += self._routers_to_query(with_hub)
         return list(dict.fromkeys(names))
 
-    def _unheard_near(self, alone: bool) -> list[RouterId]:
-        """Return a router of this data centre that is not heard, or all of them.
+    def _unknown_local_routers(self, alone: bool) -> list[RouterId]:
+        """Return listed routers of this data centre that are not live members.
 
-        Routers of one data centre that have found each other in two groups become one
-        group again.
+        One at random, all of them for the only hub. This merges routers of one data
+        centre that have formed two groups which do not know each other.
         """
-        heard = {item.router for item in self.fleet.near(self.fleet.own.data_centre)}
-        listed = [item.router for item in self.fleet.listed_near()]
-        unheard = [name for name in listed if name not in heard]
-        return unheard if alone or not unheard else [random.choice(unheard)]
+        live = {item.router for item in self.fleet.near(self.fleet.own.data_centre)}
+        listed = [item.router for item in self.fleet.local_entries()]
+        unknown = [name for name in listed if name not in live]
+        return unknown if alone or not unknown else [random.choice(unknown)]
 
-    def _askable(self, left_out: set[DataCentreId]) -> list[RouterId]:
-        """Return some routers of each data centre whose hubs are not known."""
-        by_place: dict[DataCentreId, list[Member]] = {}
+    def _routers_to_query(self, excluded: set[DataCentreId]) -> list[RouterId]:
+        """Return some routers of each data centre whose hubs are unknown."""
+        by_data_centre: dict[DataCentreId, list[Member]] = {}
         for entry in self.fleet.entries.values():
-            if entry.data_centre not in left_out:
-                member = listed_member(entry)
-                by_place.setdefault(entry.data_centre, []).append(member)
+            if entry.data_centre not in excluded:
+                member = member_from_entry(entry)
+                by_data_centre.setdefault(entry.data_centre, []).append(member)
         names: list[RouterId] = []
-        for members in by_place.values():
+        for members in by_data_centre.values():
             names += [item.router for item in choose_hubs(members)]
-            besides = min(ASKED_BESIDES, len(members))
-            names += [item.router for item in random.sample(members, besides)]
+            extra = min(EXTRA_HUB_QUERIES, len(members))
+            names += [item.router for item in random.sample(members, extra)]
         return list(dict.fromkeys(names))
--- a/carawayfold/coordination/fleet/membership.py
+++ b/carawayfold/coordination/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Which routers are live, from their own heartbeats."""
+"""Members of the fleet, their state, and the choice of leaders among them."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Container
 
-#: Least silence limit, in seconds.
+#: Lower limit of the silence timeout, in seconds.
 SILENCE_LIMIT = 2.0
-#: Candidates for each of several like subjects, of which the one with the fewest looks
-#: after it: more share the work more evenly, and more change when a member goes.
-CANDIDATES = 3
-#: Least processor of those who look after something, as a part of the strongest one's.
-#: Instances of nearly one size share the work, the weakest are left out.
-STRONG_PART = 0.75
+#: Candidates for the leader of each of several similar subjects; the candidate that
+#: leads the fewest is chosen. More candidates give a more even distribution, but more
+#: subjects change their leader when a member is removed.
+CANDIDATES_PER_SUBJECT = 3
+#: Lowest processor capacity of a leader, as a fraction of the highest in the fleet.
+#: Instances of similar size share the work, the weakest get none.
+MIN_PROCESSOR_RATIO = 0.75
 
 
 class PeerState(Enum):
-    """What is known of a peer."""
+    """State of a peer, as this router knows it."""
 
     LIVE = "live"
     STOPPING = "stopping"
-    SILENT = "silent"
+    FAILED = "silent"
 
 
 class Member(msgspec.Struct):
@@ -39,31 +40,31 @@
     ----------
     incarnation : int
         Random per process start; a new one means that its state is empty.
-    heard : float
-        When a frame of it last arrived, in seconds of the monotonic clock.
+    last_seen : float
+        Monotonic seconds at which its last heartbeat or frame arrived.
     processor : int
-        What its processor can do, in hundredths of a usual core.
+        Capacity of its processor, in hundredths of a usual core.
     hub : bool
-        Whether others meet at it and it decides for them; in a small fleet all do.
-    late : bool
-        Whether it can't keep up with its work, so that others decide.
-    told : bool
-        Whether it is known from what a hub told, not by its own heartbeats.
+        Whether it is a hub and may lead pools; in a small fleet every router is.
+    from_hub_list : bool
+        Whether it is known from a list of hubs, not from its own heartbeats.
+    lagging : bool
+        Whether it cannot keep up with its work, so that others lead.
     """
 
     router: RouterId
     data_centre: DataCentreId
     incarnation: int
-    heard: float
+    last_seen: float
     state: PeerState = PeerState.LIVE
     processor: int = 100
     hub: bool = True
-    told: bool = False
+    from_hub_list: bool = False
     late: bool = False
 
 
 class Membership:
-    """Live routers as this one sees them, itself included.
+    """Members of the fleet as this router knows them, including itself.
 
     Parameters
     ----------
@@ -72,13 +73,13 @@
     clock : callable
         Returns monotonic seconds.
     silence_limit : float
-        Seconds of silence after which a peer is taken for dead.
+        Seconds of silence after which a peer is considered failed.
     """
 
     def __init__(
-        self, own: Member, clock: Callable[[], float], silence_limit: float
+        self, own: Member, clock: Callable[[], float], silence_timeout: float
     ) -> None:
-        self.silence_limit = silence_limit
+        self.silence_timeout = silence_timeout
         self.own = own
         self.clock = clock
         self.members: dict[RouterId, Member] = {own.router: own}
@@ -90,57 +91,60 @@
         incarnation: int,
         processor: int = 100,
     ) -> bool:
-        """Note a peer's hello; return whether its state is new to us."""
+        """Add or replace a peer; return whether its incarnation is new."""
         known = self.members.get(router)
-        fresh = known is None or known.incarnation != incarnation
+        is_new = known is None or known.incarnation != incarnation
         now = self.clock()
         self.members[router] = Member(
             router, data_centre, incarnation, now, processor=processor
         )
-        return fresh
+        return is_new
 
     def incarnation_of(self, router: RouterId) -> int:
-        """Return the incarnation of a router, 0 where none is known."""
+        """Return the incarnation of a router, 0 if the router is unknown."""
         member = self.members.get(router)
         return 0 if member is None else member.incarnation
 
     def heard(self, router: RouterId, stopping: bool) -> None:
-        """Note a frame of a peer."""
+        """Record that a heartbeat or frame of a peer arrived."""
         member = self.members[router]
-        member.heard = self.clock()
+        member.last_seen = self.clock()
         member.state = PeerState.STOPPING if stopping else PeerState.LIVE
 
-    def expire(self, limit: Callable[[Member], float] | None = None) -> list[RouterId]:
-        """Mark peers that have been silent too long and return them.
+    def expire(
+        self, timeout_of: Callable[[Member], float] | None = None
+    ) -> list[RouterId]:
+        """Mark peers as failed that have been silent for too long, and return them.
 
         Parameters
         ----------
-        limit : callable, optional
-            Returns the seconds for which a member may be silent; `silence_limit` for
-            all without it.
+        timeout_of : callable, optional
+            Returns the seconds of silence after which a member is considered failed;
+            the default is `silence_timeout` for all.
         """
         now = self.clock()
-        silent = [
+        failed = [
             member
             for member in self.members.values()
             if member is not self.own
-            and member.state is not PeerState.SILENT
-            and not member.told
-            and now - member.heard > (limit(member) if limit else self.silence_limit)
+            and member.state is not PeerState.FAILED
+            and not member.from_hub_list
+            and now - member.last_seen
+            > (timeout_of(member) if timeout_of else self.silence_timeout)
         ]
-        for member in silent:
-            member.state = PeerState.SILENT
-        return [member.router for member in silent]
+        for member in failed:
+            member.state = PeerState.FAILED
+        return [member.router for member in failed]
 
-    def forget_before(self, age: float) -> None:
-        """Drop peers that have been silent for more than `age` seconds."""
+    def remove_failed(self, age: float) -> None:
+        """Remove failed peers that were last seen more than `age` seconds ago."""
         oldest = self.clock() - age
         for router, member in list(self.members.items()):
-            if member.state is PeerState.SILENT and member.heard < oldest:
+            if member.state is PeerState.FAILED and member.last_seen < oldest:
                 del self.members[router]
 
     def live(self) -> list[Member]:
-        """Return the routers that take new work, in order of name."""
+        """Return the routers that accept new work, ordered by name."""
         members = [
             member for member in self.members.values() if member.state is PeerState.LIVE
         ]
@@ -152,65 +156,66 @@
         data_centre: str = "",
         leaving_out: Container[RouterId] = (),
     ) -> RouterId:
-        """Return the router that looks after `subject`, by rendezvous hashing.
+        """Return the router responsible for `subject`, by rendezvous hashing.
 
-        Only the strongest hubs do, of those that keep up with their work if any does.
+        Only the most powerful hubs are considered, without those that lag behind their
+        work unless all do.
 
         Parameters
         ----------
         subject : str
-            A pool, or the writing of checkpoints.
+            For example a pool, or the writing of checkpoints.
         data_centre : str
-            Preferred data centre; others serve only if it has no live router.
-        leaving_out : container of RouterId
-            Routers that are passed over.
+            Preferred data centre; others are considered only if it has no live router.
+        excluded : container of RouterId
+            Routers that are not considered.
 
         Returns
         -------
         RouterId
-            The same on every router that sees the same members.
+            The same on every router that knows the same members.
         """
-        return rank(subject, self.deciders(data_centre, leaving_out))[0].router
+        return rank(subject, self.leader_candidates(data_centre, leaving_out))[0].router
 
-    def deciders(
+    def leader_candidates(
         self, data_centre: str = "", leaving_out: Container[RouterId] = ()
     ) -> list[Member]:
-        """Return the routers that may look after something; see `responsible`."""
+        """Return the routers that `responsible` chooses from."""
         hubs = [member for member in self.live() if member.hub]
         live = [item for item in hubs if item.router not in leaving_out] or [self.own]
-        near = [member for member in live if member.data_centre == data_centre]
-        return strongest(in_time(near or live))
+        local = [member for member in live if member.data_centre == data_centre]
+        return most_powerful(without_lagging(local or live))
 
 
-def share_out(subjects: list[str], members: list[Member]) -> dict[str, RouterId]:
-    """Return who looks after each of several like subjects, about as many each.
+def assign_leaders(subjects: list[str], members: list[Member]) -> dict[str, RouterId]:
+    """Return the leader of each of several similar subjects, evenly distributed.
 
-    The choice for a subject depends on those before it only.
+    The choice for a subject depends only on the subjects before it.
     """
-    taken: Counter[RouterId] = Counter()
+    assigned: Counter[RouterId] = Counter()
     chosen = {}
     for subject in subjects:
-        candidates = rank(subject, members)[:CANDIDATES]
-        least = min(candidates, key=lambda member: taken[member.router])
-        taken[least.router] += 1
-        chosen[subject] = least.router
+        candidates = rank(subject, members)[:CANDIDATES_PER_SUBJECT]
+        least_loaded = min(candidates, key=lambda member: assigned[member.router])
+        assigned[least_loaded.router] += 1
+        chosen[subject] = least_loaded.router
     return chosen
 
 
 def rank(subject: str, members: list[Member]) -> list[Member]:
-    """Return members in the order in which they look after `subject`."""
+    """Return the members in their order by rendezvous hashing for `subject`."""
     return sorted(members, key=lambda member: _weight(subject, member), reverse=True)
 
 
-def in_time(members: list[Member]) -> list[Member]:
-    """Return the members that keep up with their work, all if none does."""
+def without_lagging(members: list[Member]) -> list[Member]:
+    """Return the members that keep up with their work, or all members if none does."""
     return [member for member in members if not member.late] or members
 
 
-def strongest(members: list[Member]) -> list[Member]:
-    """Return the members that are about as strong as the strongest of them."""
-    least = STRONG_PART * max(member.processor for member in members)
-    return [member for member in members if member.processor >= least]
+def most_powerful(members: list[Member]) -> list[Member]:
+    """Return the members with a processor close to the most powerful one."""
+    minimum = MIN_PROCESSOR_RATIO * max(member.processor for member in members)
+    return [member for member in members if member.processor >= minimum]
 
 
 def _weight(subject: str, member: Member) -> int:
--- a/carawayfold/coordination/fleet/readers.py
+++ b/carawayfold/coordination/fleet/readers.py
@@ -1,8 +1,8 @@
-"""Which routers read the store for the others.
+"""Choice of the routers that read the store on behalf of the others.
 
-The loads it answers: a store whose calls are dear, so that one router of a data centre
-reads for the rest; and a store that refuses some routers or does not answer them, also
-just those that read, while the rest could reach it.
+Calls to the store are expensive, so one router of a data centre reads it for the rest.
+The store may also reject or not answer some routers, possibly just the readers, while
+the rest could reach it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from carawayfold.coordination.fleet.hubs import LEAF_INTERVAL
+from carawayfold.coordination.fleet.hubs import LEAF_HEARTBEAT_INTERVAL
 from carawayfold.coordination.fleet.membership import rank
 
 if TYPE_CHECKING:
@@ -19,78 +19,87 @@
     from carawayfold.coordination.fleet.membership import Member
     from carawayfold.state.ids import RouterId
 
-#: Routers up to which each one reads the store for itself.
+#: Fleet size up to which each router reads the store itself.
 ALL_READ = 12
-#: Readers of a fleet in one data centre; in several each has one, and what one of them
-#: misses the others tell.
-READERS_ALONE = 2
-#: Seconds since all was known after which each hub reads for itself: a read that waits,
-#: its pause, and a heartbeat. Leaves do so as well whose hubs can't tell them.
-HUB_STALE = 1.3
-#: The same for leaves, which hear less often, and the time over which they spread their
-#: calls, so that hundreds don't ask a store at once that answers none of them.
-LEAF_STALE = 1.8
-LEAF_SPREAD = 0.4
-#: Seconds after which a leaf counts a hub as one that can't tell it: two heartbeats.
-HUB_QUIET = 2 * LEAF_INTERVAL
-#: What the members are ranked by as readers.
-SUBJECT = "store"
+#: Readers of a fleet in a single data centre. In a fleet of several data centres each
+#: has one reader, and readers pass on what another one missed.
+READERS_IN_ONLY_DATA_CENTRE = 2
+#: Seconds without complete knowledge of a topic after which each hub reads the store
+#: itself: a long-polling read, the pause after it, and a heartbeat. It also applies to
+#: leaves whose hubs cannot relay updates.
+HUB_STALENESS_LIMIT = 1.3
+#: The same for leaves, whose heartbeats are less frequent, and the seconds over which
+#: they spread their calls: hundreds of leaves must not call a failing store at once.
+LEAF_STALENESS_LIMIT = 1.8
+LEAF_JITTER = 0.4
+#: Seconds without a heartbeat after which a hub cannot relay updates: two heartbeats.
+HUB_SILENCE_TIMEOUT = 2 * LEAF_HEARTBEAT_INTERVAL
+#: Subject of the rendezvous hashing that ranks hubs as readers.
+RANKING_SUBJECT = "store"
 
 
 def is_reader(fleet: Fleet, age: float) -> bool:
     """Return whether this router should read the store.
 
-    In a large fleet the first hub of each data centre by rendezvous hashing does, and
-    the first one that the store answers. The others follow them by their heartbeats,
-    until what they know is too old.
+    In a large fleet it is read by the first hub of each data centre by rendezvous
+    hashing, and by the first hub that the store answers. The others learn from their
+    heartbeats that there are new records, until their own knowledge is too old.
 
     Parameters
     ----------
+    fleet : Fleet
+        Members and heartbeats known to this router.
     age : float
-        Seconds since this router knew all of a topic's records.
+        Seconds since this router knew all records of a topic.
     """
     if fleet.size <= ALL_READ:
         return True
     if not fleet.own.hub:
-        patience = LEAF_STALE if _is_told(fleet) else HUB_STALE
-        return age > patience + LEAF_SPREAD * _place(fleet.own)
-    near = [item for item in fleet.near(fleet.own.data_centre) if item.hub]
-    served = [item for item in near if not _is_refused(fleet, item)]
-    places = {item.data_centre for item in fleet.hubs()}
-    wanted = 1 if len(places) > 1 else READERS_ALONE
-    first = rank(SUBJECT, near)[:wanted] + rank(SUBJECT, served)[:wanted]
-    return fleet.own in first or age > HUB_STALE
-
-
-def _is_refused(fleet: Fleet, member: Member) -> bool:
-    """Return whether a peer says that the store does not answer it."""
-    beat = fleet.beats.get(member.router)
-    return beat is not None and beat.refused
+        limit = (
+            LEAF_STALENESS_LIMIT if _has_relaying_hub(fleet) else HUB_STALENESS_LIMIT
+        )
+        return age > limit + LEAF_JITTER * _jitter_fraction(fleet.own)
+    local = [item for item in fleet.near(fleet.own.data_centre) if item.hub]
+    answered = [item for item in local if not _is_refused_by_store(fleet, item)]
+    data_centres = {item.data_centre for item in fleet.hubs()}
+    readers = 1 if len(data_centres) > 1 else READERS_IN_ONLY_DATA_CENTRE
+    chosen = (
+        rank(RANKING_SUBJECT, local)[:readers]
+        + rank(RANKING_SUBJECT, answered)[:readers]
+    )
+    return fleet.own in chosen or age > HUB_STALENESS_LIMIT
+
+
+def _is_refused_by_store(fleet: Fleet, member: Member) -> bool:
+    """Return whether a peer reports that the store did not answer its last call."""
+    heartbeat = fleet.beats.get(member.router)
+    return heartbeat is not None and heartbeat.refused
 
 
 def can_tell(fleet: Fleet, router: RouterId) -> bool:
-    """Return whether a peer is a hub that seems to learn at once what is new.
+    """Return whether a peer is a hub with current knowledge of the store.
 
-    One that the store answers does, or one that hears from such a peer in time.
+    Its last heartbeat must be recent, the store must answer it, and its knowledge of
+    endpoints and of operators' records must not be stale.
     """
-    beat = fleet.beats.get(router)
-    if beat is None or beat.refused or not beat.hub:
+    heartbeat = fleet.beats.get(router)
+    if heartbeat is None or heartbeat.refused or not heartbeat.hub:
         return False
-    quiet = fleet.loop.time() - fleet.beaten_at[router]
-    oldest = max(beat.store_age, beat.operators_age)
-    return quiet <= HUB_QUIET and oldest <= HUB_STALE * 1000
+    silence = fleet.loop.time() - fleet.beaten_at[router]
+    oldest = max(heartbeat.store_age, heartbeat.operators_age)
+    return silence <= HUB_SILENCE_TIMEOUT and oldest <= HUB_STALENESS_LIMIT * 1000
 
 
-def _is_told(fleet: Fleet) -> bool:
-    """Return whether a hub of its data centre can tell this leaf what is new.
+def _has_relaying_hub(fleet: Fleet) -> bool:
+    """Return whether a hub of this leaf can relay updates, or there is no hub.
 
-    Without one it must not wait for as long as heartbeats may take: the endpoints that
-    leave meanwhile get requests for longer than they may.
+    Without such a hub the leaf must not wait for the longer limit of leaves: endpoints
+    that leave meanwhile would receive requests for longer than allowed.
     """
     hubs = fleet.near_hubs()
     return not hubs or any(can_tell(fleet, hub.router) for hub in hubs)
 
 
-def _place(own: Member) -> float:
-    """Return a number from 0 to 1 that differs between routers."""
+def _jitter_fraction(own: Member) -> float:
+    """Return a number from 0 to 1, derived from the name of the router."""
     return xxhash.xxh3_64_intdigest(own.router.encode()) / 2**64
--- a/carawayfold/coordination/fleet/suspects.py
+++ b/carawayfold/coordination/fleet/suspects.py
@@ -1,8 +1,8 @@
-"""Routers that did not answer, so that the next in line decides without a further wait.
+"""Routers that did not answer, so that others are asked without a further wait.
 
-The load it answers: a router that decides for many is killed, frozen or cut off while
-requests come. Each one that waited for it in vain would wait again for as long, until
-heartbeats have told that it is gone.
+When the leader of many pools is killed, frozen or disconnected, requests continue to
+arrive. Without suspects, each request would wait for the leader's answer until missed
+heartbeats show that the leader has failed.
 """
 
 from __future__ import annotations
@@ -12,35 +12,36 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import RouterId
 
-#: Seconds for which a router that did not answer is passed over, unless it is heard:
-#: as long as heartbeats take to tell that it is gone.
-PASSED_OVER = 1.0
-#: Routers passed over at once, above which it is this one that nobody hears.
-PASSED_OVER_MOST = 2
+#: Seconds for which a router that did not answer is a suspect, unless a datagram of it
+#: arrives: the time in which missed heartbeats show that it has failed.
+SUSPECT_DURATION = 1.0
+#: Simultaneous suspects from which on this router is considered isolated, rather than
+#: the others failed.
+MIN_SUSPECTS_IF_ISOLATED = 2
 
 
 class Suspects:
-    """Who did not answer this router of late."""
+    """Routers that recently did not answer this one."""
 
     def __init__(self) -> None:
-        #: Until when each one is passed over.
+        #: Loop time at which each suspicion ends.
         self.until: dict[RouterId, float] = {}
 
     def note(self, router: RouterId, now: float) -> None:
-        """Pass over a router that did not answer."""
-        self.until[router] = now + PASSED_OVER
+        """Make a router that did not answer a suspect."""
+        self.until[router] = now + SUSPECT_DURATION
 
     def clear(self, router: RouterId) -> bool:
-        """Note that a router was heard; return whether it was passed over."""
+        """Clear a router that sent a datagram; return whether it was a suspect."""
         return self.until.pop(router, None) is not None
 
     def expire(self, now: float) -> bool:
-        """Try routers again whose time is over; return whether there were any."""
-        over = [router for router, until in self.until.items() if until <= now]
-        for router in over:
+        """Remove suspects whose time is over; return whether there were any."""
+        expired = [router for router, until in self.until.items() if until <= now]
+        for router in expired:
             del self.until[router]
-        return bool(over)
+        return bool(expired)
 
     def alone(self) -> bool:
-        """Return whether this router rather than the others is cut off."""
-        return len(self.until) >= PASSED_OVER_MOST
+        """Return whether so many are suspects that this router itself is isolated."""
+        return len(self.until) >= MIN_SUSPECTS_IF_ISOLATED
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -43,7 +43,7 @@
 #: Seconds that a new granter waits for the reports of live holders.
 SETTLING = 0.3
 #: Seconds after which a silent peer's rows are forgotten.
-FORGET_AFTER = 600.0
+FORGET_TIMEOUT = 600.0
 
 
 class Granting(msgspec.Struct):
@@ -414,7 +414,7 @@
     def beat(self) -> None:
         """Send a heartbeat with changed service rows to every peer."""
         self.silent(self.membership.expire())
-        self.membership.forget_before(FORGET_AFTER)
+        self.membership.remove_failed(FORGET_TIMEOUT)
         self.book.tidy(self.membership.members)
         self.dirty.update(self.pools)
         self.flush(everyone=True)
--- a/tests/coordination/fleet/test_fleet.py
+++ b/tests/coordination/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""Heartbeats of small and large fleets, on a simulated clock and network."""
+"""Heartbeats of small and large fleets on a simulated clock and network."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 import pytest
 
-from carawayfold.coordination.fleet.fleet import LATE_FOR, Role
-from carawayfold.coordination.fleet.hubs import HUBS, MESH_MOST
+from carawayfold.coordination.fleet.fleet import LAGGING_DURATION, Role
+from carawayfold.coordination.fleet.hubs import HUBS_PER_DATA_CENTRE, MESH_MOST
 from carawayfold.protocol.datagrams import HubEntry, RosterMessage
 from tests.simulated_fleet import WEAK, simulate, started
 
 SUBJECTS = [f"model/{number}" for number in range(4)]
-#: Seconds in which a fleet has surely settled.
-SETTLED = 5.0
+#: Seconds after which the roles and leaders of a fleet no longer change.
+SETTLING_TIME = 5.0
 
 
 def agreed(fleet, place=None):
-    """Return whether all routers, or those of a data centre, name the same leaders."""
+    """Return whether all routers, or those of a data centre, have the same leaders."""
     return all(len(fleet.leaders(subject, place)) == 1 for subject in SUBJECTS)
 
 
@@ -25,16 +25,16 @@
     return next(iter(fleet.leaders(SUBJECTS[0])))
 
 
-def play(scenario, count=67, places=4, **options):
-    async def work():
+def run_scenario(scenario, count=67, places=4, **options):
+    async def run():
         fleet = started(count, places, **options)
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLING_TIME)
         try:
             return await scenario(fleet)
         finally:
             await fleet.close()
 
-    return simulate(work)
+    return simulate(run)
 
 
 @pytest.mark.parametrize(("count", "places"), [(9, 3), (MESH_MOST, 4)])
@@ -42,21 +42,24 @@
     async def scenario(fleet):
         return fleet.roles(), agreed(fleet)
 
-    assert play(scenario, count, places) == ({Role.MESH: count}, True)
+    assert run_scenario(scenario, count, places) == ({Role.MESH: count}, True)
 
 
 @pytest.mark.parametrize(("count", "places"), [(MESH_MOST + 1, 3), (67, 4), (195, 5)])
-def test_a_large_fleet_meets_at_three_hubs_a_data_centre(count, places):
+def test_a_large_fleet_has_three_hubs_in_each_data_centre(count, places):
     async def scenario(fleet):
-        hubs = HUBS * places
+        hubs = HUBS_PER_DATA_CENTRE * places
         assert fleet.roles() == {Role.HUB: hubs, Role.LEAF: count - hubs}
-        assert all(len(fleet.hubs(f"dc-{place}")) == HUBS for place in range(places))
+        assert all(
+            len(fleet.hubs(f"dc-{place}")) == HUBS_PER_DATA_CENTRE
+            for place in range(places)
+        )
         return agreed(fleet)
 
-    assert play(scenario, count, places)
+    assert run_scenario(scenario, count, places)
 
 
-def test_what_a_router_sends_when_idle_does_not_grow_with_the_fleet():
+def test_the_idle_traffic_of_a_router_does_not_grow_with_the_fleet():
     def busiest(count, places):
         async def scenario(fleet):
             fleet.sent.clear()
@@ -69,17 +72,17 @@
             ]
             return max(leaves), max(fleet.sent_bytes.values()) / 4
 
-        return play(scenario, count, places)
+        return run_scenario(scenario, count, places)
 
     leaf, most_bytes = busiest(67, 4)
     large_leaf, large_most_bytes = busiest(195, 5)
-    assert large_leaf <= leaf <= HUBS / 0.5 + 1
-    # A quarter of what a node may send for control at any size.
+    assert large_leaf <= leaf <= HUBS_PER_DATA_CENTRE / 0.5 + 1
+    # Bytes per second: a quarter of the limit for control traffic of an instance.
     assert max(most_bytes, large_most_bytes) < 14_000 / 2
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_loss_of_datagrams_loses_no_router(seed):
+def test_lost_datagrams_do_not_make_routers_considered_failed(seed):
     async def scenario(fleet):
         assert agreed(fleet)
         fleet.changes.clear()
@@ -87,11 +90,11 @@
         lost = sum(fleet.changes.values())
         return lost <= 2 * len(fleet.routers), agreed(fleet)
 
-    assert play(scenario, seed=seed, loss=0.03) == (True, True)
+    assert run_scenario(scenario, seed=seed, loss=0.03) == (True, True)
 
 
 @pytest.mark.parametrize(("count", "places"), [(9, 3), (67, 4), (195, 5)])
-def test_a_killed_decider_is_replaced_within_a_second(count, places):
+def test_a_killed_leader_is_replaced_within_a_second(count, places):
     async def scenario(fleet):
         lost = leader(fleet)
         fleet.kill(lost)
@@ -101,10 +104,10 @@
 
         return await fleet.until(replaced, 1.0) is not None
 
-    assert play(scenario, count, places)
+    assert run_scenario(scenario, count, places)
 
 
-def test_a_router_that_one_asks_in_its_place_looks_at_once():
+def test_a_router_asked_in_place_of_the_leader_confirms_its_failure_early():
     async def scenario(fleet):
         lost = leader(fleet)
         asking = next(
@@ -114,7 +117,7 @@
         )
         fleet.kill(lost)
         begun = fleet.loop.time()
-        # Four offers go unanswered, then the next in line is asked.
+        # Four offers remain unanswered, then the next router in rank is asked.
         await asyncio.sleep(0.1)
         asking.unanswered(lost)
         second = fleet.routers[asking.responsible(SUBJECTS[0])]
@@ -126,10 +129,10 @@
         await fleet.until(leads, 1.0)
         return second.own.router != lost, fleet.loop.time() - begun < 0.4
 
-    assert play(scenario) == (True, True)
+    assert run_scenario(scenario) == (True, True)
 
 
-def test_a_suspect_that_is_heard_is_asked_again():
+def test_a_suspect_that_sends_a_datagram_is_asked_again():
     async def scenario(fleet):
         suspected = leader(fleet)
         asking = next(item for item in fleet.routers.values() if not item.own.hub)
@@ -140,10 +143,10 @@
         await asyncio.sleep(0.01)
         return passed_over, leads, asking.responsible(SUBJECTS[0]) == suspected
 
-    assert play(scenario) == (True, True, True)
+    assert run_scenario(scenario) == (True, True, True)
 
 
-def test_both_sides_of_a_partition_go_on_and_find_each_other_again():
+def test_both_sides_of_a_partition_continue_and_merge_afterwards():
     async def scenario(fleet):
         fleet.apart.add("dc-1")
 
@@ -161,22 +164,22 @@
         fleet.apart.clear()
         return await fleet.until(lambda: agreed(fleet), 3.0) is not None
 
-    assert play(scenario)
+    assert run_scenario(scenario)
 
 
-def test_a_data_centre_that_loses_all_hubs_finds_others():
+def test_a_data_centre_that_loses_all_hubs_chooses_new_ones():
     async def scenario(fleet):
         fleet.kill(*fleet.hubs("dc-2"))
 
         def found():
-            return agreed(fleet) and len(fleet.hubs("dc-2")) == HUBS
+            return agreed(fleet) and len(fleet.hubs("dc-2")) == HUBS_PER_DATA_CENTRE
 
         return await fleet.until(found, 4.0) is not None
 
-    assert play(scenario)
+    assert run_scenario(scenario)
 
 
-def test_a_fleet_that_restarts_as_a_whole_settles_soon():
+def test_a_fleet_that_restarts_as_a_whole_agrees_on_leaders_soon():
     async def scenario(fleet):
         names = list(fleet.routers)
         fleet.kill(*names)
@@ -192,7 +195,7 @@
         settled_after = await fleet.until(settled, 3.0)
         return settled_after is not None, sum(fleet.sent.values()) / len(names) < 400
 
-    assert play(scenario) == (True, True)
+    assert run_scenario(scenario) == (True, True)
 
 
 def test_a_router_that_stops_is_replaced_at_once():
@@ -204,13 +207,13 @@
             return agreed(fleet) and leader(fleet) != stopping
 
         replaced_after = await fleet.until(replaced, 0.6)
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(SETTLING_TIME)
         return replaced_after is not None and replaced()
 
-    assert play(scenario)
+    assert run_scenario(scenario)
 
 
-def test_a_hub_that_nobody_hears_does_not_become_one_by_being_told():
+def test_a_listed_hub_that_sends_no_heartbeat_does_not_become_a_member():
     async def scenario(fleet):
         sender = min(fleet.hubs("dc-0"))
         leaf = next(
@@ -218,59 +221,59 @@
             for name, item in fleet.routers.items()
             if item.role is Role.LEAF and fleet.places[name] == "dc-0"
         )
-        stranger = HubEntry("nobody", "192.0.2.1", 1, 7, 10_000)
-        message = RosterMessage("dc-0", [stranger])
+        unreachable = HubEntry("nobody", "192.0.2.1", 1, 7, 10_000)
+        message = RosterMessage("dc-0", [unreachable])
         fleet.routers[sender].send(leaf, message)
         await asyncio.sleep(0.1)
-        told = [item.router for item in fleet.routers[leaf].hubs()]
-        assert "nobody" not in told
-        await asyncio.sleep(SETTLED)
+        listed = [item.router for item in fleet.routers[leaf].hubs()]
+        assert "nobody" not in listed
+        await asyncio.sleep(SETTLING_TIME)
         return agreed(fleet)
 
-    assert play(scenario)
+    assert run_scenario(scenario)
 
 
-@pytest.mark.parametrize(("count", "counted"), [(1, None), (2, 2), (9, 9)])
-def test_a_router_counts_a_fleet_only_once_it_was_told_of_it(count, counted):
+@pytest.mark.parametrize(("count", "expected"), [(1, None), (2, 2), (9, 9)])
+def test_the_fleet_size_is_unknown_before_entries_or_heartbeats(count, expected):
     async def scenario(fleet):
         return {router.counted for router in fleet.routers.values()}
 
-    assert play(scenario, count, 1) == {counted}
+    assert run_scenario(scenario, count, 1) == {expected}
 
 
-def test_a_router_that_is_the_only_one_listed_counts_itself():
+def test_the_fleet_size_is_one_for_the_only_listed_router():
     async def scenario(fleet):
         (alone,) = fleet.routers.values()
         alone.listed.set()
         return alone.counted
 
-    assert play(scenario, 1, 1) == 1
+    assert run_scenario(scenario, 1, 1) == 1
 
 
 @pytest.mark.parametrize(("count", "places"), [(9, 3), (67, 4)])
-def test_a_router_that_cannot_keep_up_decides_for_nobody(count, places):
+def test_a_lagging_router_does_not_lead(count, places):
     async def scenario(fleet):
         late = leader(fleet)
         router = fleet.routers[late]
         router.note_late(True)
 
-        def left():
+        def replaced():
             return agreed(fleet) and leader(fleet) != late
 
-        soon = await fleet.until(left, 1.0)
+        soon = await fleet.until(replaced, 1.0)
         router.note_late(False)
-        await asyncio.sleep(LATE_FOR / 2)
+        await asyncio.sleep(LAGGING_DURATION / 2)
         router.note_late(False)
-        kept = leader(fleet) != late
-        await asyncio.sleep(LATE_FOR / 2)
+        still_replaced = leader(fleet) != late
+        await asyncio.sleep(LAGGING_DURATION / 2)
         router.note_late(False)
         again = await fleet.until(lambda: agreed(fleet) and leader(fleet) == late, 1.0)
-        return soon is not None, kept, again is not None
+        return soon is not None, still_replaced, again is not None
 
-    assert play(scenario, count, places) == (True, True, True)
+    assert run_scenario(scenario, count, places) == (True, True, True)
 
 
-def test_where_no_router_keeps_up_they_decide_all_the_same():
+def test_routers_lead_as_usual_if_all_of_them_lag():
     async def scenario(fleet):
         before = leader(fleet)
         for router in fleet.routers.values():
@@ -278,4 +281,4 @@
         await asyncio.sleep(2.0)
         return agreed(fleet) and leader(fleet) == before
 
-    assert play(scenario, 9, 3)
+    assert run_scenario(scenario, 9, 3)
