--- a/carawayfold/coordination/fleet/fleet.py
+++ b/carawayfold/coordination/fleet/fleet.py
@@ -424,7 +424,8 @@
         """Return the routers to forward a message to that `sender` has sent to all.
 
         A hub sends to all hubs and to the leaves of its data centre, a leaf only to its
-        hubs; hubs forward to the routers that the sender does not send to.
+        hubs. So a hub forwards messages of a leaf to all its direct recipients, and
+        messages of a hub of another data centre to the leaves whose primary hub it is.
         """
         member = self.membership.members.get(sender)
         if self.role is not Role.HUB or member is None:
--- a/carawayfold/coordination/fleet/membership.py
+++ b/carawayfold/coordination/fleet/membership.py
@@ -72,7 +72,7 @@
         This router.
     clock : callable
         Returns monotonic seconds.
-    silence_limit : float
+    silence_timeout : float
         Seconds of silence after which a peer is considered failed.
     """
 
--- a/carawayfold/coordination/slots/__init__.py
+++ b/carawayfold/coordination/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Slots that are granted to the requests of the product's own interface."""
+"""Grants of endpoint slots to the requests of the product's own interface."""
--- a/carawayfold/coordination/slots/dispatch.py
+++ b/carawayfold/coordination/slots/dispatch.py
@@ -1,4 +1,4 @@
-"""The holder's side of scheduling: requests wait here until a slot is granted."""
+"""The holder's side of scheduling: requests that wait for the grant of a slot."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     from carawayfold.state.ids import EndpointId, OrganisationId, ServiceId
     from carawayfold.state.service_rows import OwnRows
 
-#: Grants answering a report older than this are not acted on, in seconds.
-GRANT_LIFETIME = 1.5
-#: Weight of the newest interval in the rate of grants.
-RATE_SMOOTHING = 0.2
+#: Seconds after which a grant is not used, counted from the report that it is based on.
+MAX_GRANT_AGE = 1.5
+#: Weight of the newest interval in the smoothed interval between grants.
+INTERVAL_SMOOTHING = 0.2
 
 
 class DemandObserver(Protocol):
-    """Who hears of changes to the work that this router holds."""
+    """Receives notifications of changes to the work that this router holds."""
 
-    def demanded(self, service: ServiceId, organisation: OrganisationId) -> None:
-        """Note that the waiting work of an organisation changed."""
+    def demand_changed(self, service: ServiceId, organisation: OrganisationId) -> None:
+        """Handle a change of the waiting work of an organisation."""
 
-    def released(self, service: ServiceId, organisation: OrganisationId) -> None:
-        """Note that a slot is free."""
+    def slot_released(self, service: ServiceId, organisation: OrganisationId) -> None:
+        """Handle a slot that has become free."""
 
 
 class Dispatcher:
@@ -37,11 +37,15 @@
     Parameters
     ----------
     settings : Settings
-        Bounds of the queues.
+        Limits of the queues.
     rows : OwnRows
-        Service measured here.
+        Service received through this router.
+
+    Attributes
+    ----------
     observer : DemandObserver or None
-        Told when work waits and when a slot is free.
+        Notified when waiting work changes and when a slot becomes free. It must be set
+        before the first request.
     """
 
     def __init__(
@@ -55,8 +59,8 @@
         self.queues: dict[ServiceId, ServiceQueue] = {}
         self.in_flight: dict[EndpointId, int] = {}
         #: Smoothed seconds between grants, by service and organisation.
-        self.pace: dict[tuple[ServiceId, OrganisationId], float] = {}
-        self.last_grant: dict[tuple[ServiceId, OrganisationId], float] = {}
+        self.grant_intervals: dict[tuple[ServiceId, OrganisationId], float] = {}
+        self.last_grant_at: dict[tuple[ServiceId, OrganisationId], float] = {}
 
     def queue(self, service: ServiceId) -> ServiceQueue:
         """Return the queue of `service`."""
@@ -84,14 +88,14 @@
         organisation : OrganisationId
             Whose share it uses.
         deadline : float
-            Loop time by which it must have begun.
+            Loop time by which it must have been granted a slot.
         avoid : frozenset of EndpointId
-            Endpoints that already failed it.
+            Endpoints that have already failed for this request.
 
         Returns
         -------
         EndpointId
-            Give the slot back with `release`.
+            Endpoint of the slot; return the slot with `release`.
 
         Raises
         ------
@@ -100,7 +104,7 @@
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self._refuse_late(request.service, organisation, deadline - now)
+        self._reject_if_too_late(request.service, organisation, deadline - now)
         waiter = Waiter(
             request.request_id,
             organisation,
@@ -111,7 +115,7 @@
             avoid,
         )
         self.queue(request.service).push(waiter)
-        self.observer.demanded(request.service, organisation)
+        self.observer.demand_changed(request.service, organisation)
         delivered = False
         try:
             async with asyncio.timeout_at(deadline):
@@ -131,14 +135,14 @@
 
     def _withdraw(self, service: ServiceId, waiter: Waiter) -> None:
         if self.queue(service).discard(waiter):
-            self.observer.demanded(service, waiter.organisation)
+            self.observer.demand_changed(service, waiter.organisation)
             return
         granted = waiter.granted
         if granted.done() and not granted.cancelled() and not granted.exception():
-            # The slot came in the same moment as the timeout or the cancel.
+            # The grant arrived at the same time as the timeout or the cancellation.
             self.release(service, waiter.organisation, granted.result(), 0.0, 0)
 
-    def _refuse_late(
+    def _reject_if_too_late(
         self, service: ServiceId, organisation: OrganisationId, remaining: float
     ) -> None:
         wait = self._expected_wait(service, organisation)
@@ -152,36 +156,40 @@
         queue = self.queue(service).queues.get(organisation)
         if queue is None:
             return 0.0
-        return len(queue) * self.pace.get((service, organisation), 0.0)
+        return len(queue) * self.grant_intervals.get((service, organisation), 0.0)
 
     def granted(
         self, service: ServiceId, organisation: OrganisationId, endpoint: EndpointId
     ) -> bool:
-        """Take a slot that was granted; return whether a request uses it."""
+        """Assign a granted slot to a waiting request; return whether there is one."""
         queue = self.queue(service)
         waiter = queue.take(organisation, endpoint)
         while waiter is not None and waiter.granted.done():
             waiter = queue.take(organisation, endpoint)
         if waiter is None:
             return False
-        self._note_pace(service, organisation)
+        self._update_grant_interval(service, organisation)
         self.in_flight[endpoint] = self.in_flight.get(endpoint, 0) + 1
         self.rows.change(service, organisation, in_flight=1)
         waiter.granted.set_result(endpoint)
         return True
 
-    def _note_pace(self, service: ServiceId, organisation: OrganisationId) -> None:
+    def _update_grant_interval(
+        self, service: ServiceId, organisation: OrganisationId
+    ) -> None:
         key = (service, organisation)
         now = asyncio.get_running_loop().time()
-        last = self.last_grant.get(key)
-        self.last_grant[key] = now
+        last = self.last_grant_at.get(key)
+        self.last_grant_at[key] = now
         if organisation not in self.queue(service).queues:
-            # Nothing waited behind it: the gap says nothing about the pace.
-            self.last_grant.pop(key)
+            # No work waits, so the interval to the next grant will not show the rate.
+            self.last_grant_at.pop(key)
             return
         if last is not None:
-            pace = self.pace.get(key, now - last)
-            self.pace[key] = pace + RATE_SMOOTHING * (now - last - pace)
+            interval = self.grant_intervals.get(key, now - last)
+            self.grant_intervals[key] = interval + INTERVAL_SMOOTHING * (
+                now - last - interval
+            )
 
     def release(
         self,
@@ -191,12 +199,12 @@
         received: float,
         requests: int = 1,
     ) -> None:
-        """Give a slot back and charge what was received.
+        """Return a slot and charge the service received.
 
         Parameters
         ----------
         service, organisation, endpoint
-            As acquired.
+            As given to and returned by `acquire`.
         received : float
             Service units.
         requests : int
@@ -208,18 +216,18 @@
         else:
             del self.in_flight[endpoint]
         self.rows.change(service, organisation, -1, received, requests)
-        self.observer.released(service, organisation)
+        self.observer.slot_released(service, organisation)
 
     def refuse_all(self, refusal: Refusal) -> None:
-        """Refuse everything that waits."""
+        """Reject all waiting requests with `refusal`."""
         for service, queue in self.queues.items():
             waiters = [
                 waiter
-                for part in queue.queues.values()
-                for waiter in (*part.urgent, *part.normal)
+                for organisation_queue in queue.queues.values()
+                for waiter in (*organisation_queue.urgent, *organisation_queue.normal)
             ]
             for waiter in waiters:
                 queue.discard(waiter)
                 if not waiter.granted.done():
                     waiter.granted.set_exception(refusal)
-                self.observer.demanded(service, waiter.organisation)
+                self.observer.demand_changed(service, waiter.organisation)
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -1,4 +1,4 @@
-"""What routers tell each other: service, demand, grants and heartbeats."""
+"""Exchange of service rows, demand reports, grants and heartbeats between routers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from carawayfold.coordination.fleet.membership import PeerState
-from carawayfold.coordination.slots.dispatch import GRANT_LIFETIME
+from carawayfold.coordination.slots.dispatch import MAX_GRANT_AGE
 from carawayfold.coordination.slots.link_fleet import take_messages
 from carawayfold.coordination.slots.pool import PoolGranter
 from carawayfold.coordination.slots.reporting import Reporter
@@ -38,48 +38,48 @@
 
 logger = logbook.Logger(__name__)
 
-#: Least seconds between two rounds of reports.
-FLUSH_GAP = 0.002
-#: Seconds that a new granter waits for the reports of live holders.
-SETTLING = 0.3
-#: Seconds after which a silent peer's rows are forgotten.
+#: Seconds at least between two rounds of reports.
+MIN_FLUSH_INTERVAL = 0.002
+#: Seconds for which the new leader of a pool waits for the reports of live holders.
+REPORTS_TIMEOUT = 0.3
+#: Seconds after which a failed peer and its rows are removed.
 FORGET_TIMEOUT = 600.0
 
 
-class Granting(msgspec.Struct):
-    """A pool that this router grants.
+class LedPool(msgspec.Struct):
+    """A pool that this router leads.
 
     Attributes
     ----------
     since : float
-        When it became responsible, in monotonic seconds.
+        Monotonic seconds at which this router became the leader.
     reported : set of RouterId
         Holders that have reported since then.
-    settled : bool
-        Whether enough is known of the slots in use to grant free ones.
+    ready : bool
+        Whether the slots in use are known well enough to grant free ones.
     """
 
     granter: PoolGranter
     since: float
     reported: set[RouterId] = msgspec.field(default_factory=set)
-    settled: bool = False
+    ready: bool = False
 
 
 class Exchange:
-    """Keeps holders and granters informed.
+    """Exchanges frames with peers, as a holder of requests and as leader of pools.
 
     Parameters
     ----------
     settings : Settings
-        Intervals and policy.
+        Intervals and scheduling policy.
     membership : Membership
-        Who is live, and who grants which pool.
+        Live routers and the leaders of pools.
     dispatcher : Dispatcher
-        Requests held here.
+        Requests held by this router.
     rows : OwnRows
-        Service measured here.
-    health : HealthBook
-        Experience with endpoints.
+        Service received through this router.
+    health : EndpointHealthTracker
+        Health of endpoints.
     share_of : callable
         Returns the share of an organisation.
     clock : callable
@@ -101,7 +101,7 @@
         self.dispatcher = dispatcher
         self.clock = clock
         self.own = membership.own.router
-        self.alone = settings.scheduling != "granted"
+        self.leads_all = settings.scheduling != "granted"
         self.book = ServiceBook(self.own, rows, share_of)
         self.reporter = Reporter(
             dispatcher,
@@ -109,67 +109,67 @@
             settings.data_centre,
             settings.spread_delay,
             clock,
-            self._look_again,
+            self._report_later,
         )
-        #: Links by peer; this router's own is a loopback that is never sent on.
+        #: Links by router; the one for this router is a loopback that sends no frames.
         self.links: dict[RouterId, Link] = {self.own: Link.loopback()}
         self.pools: dict[PoolId, PoolSpec] = {}
         self.by_service: dict[ServiceId, list[PoolSpec]] = {}
-        self.granting: dict[PoolId, Granting] = {}
-        #: Pools with news for their granters.
+        self.led_pools: dict[PoolId, LedPool] = {}
+        #: Pools with changes to report to their leaders.
         self.dirty: set[PoolId] = set()
         self.flush_timer: asyncio.TimerHandle | None = None
         self.last_flush = 0.0
         self.revision = 0
-        #: Takes the messages on contents, and knows of links that are new.
+        #: Handlers of the messages on contents and of newly established links.
         self.on_datagram: Callable[[Datagram], None] = lambda datagram: None
         self.on_greeted: Callable[[Link], None] = lambda link: None
 
     # Pools and membership
 
     def set_pools(self, pools: list[PoolSpec]) -> None:
-        """Take the pools of a new configuration or instance list."""
+        """Apply the pools of a new configuration or instance list."""
         self.pools = {pool.id: pool for pool in pools}
         self.by_service = {}
         for pool in pools:
             self.by_service.setdefault(ServiceId(pool.service), []).append(pool)
-        for pool_id in list(self.granting):
+        for pool_id in list(self.led_pools):
             if pool_id in self.pools:
-                self.granting[pool_id].granter.respecify(self.pools[pool_id])
+                self.led_pools[pool_id].granter.update_spec(self.pools[pool_id])
             else:
-                self._stop_granting(pool_id)
+                self._stop_leading(pool_id)
         self.reassign()
 
     def reassign(self) -> None:
-        """Find the granter of each pool anew after a change of membership."""
+        """Determine the leader of each pool after a change of membership."""
         for pool in self.pools.values():
-            own = self.granter_of(pool) == self.own
-            if own and pool.id not in self.granting:
-                self._start_granting(pool)
-            elif not own and pool.id in self.granting:
-                self._stop_granting(pool.id)
+            own = self.leader_of(pool) == self.own
+            if own and pool.id not in self.led_pools:
+                self._start_leading(pool)
+            elif not own and pool.id in self.led_pools:
+                self._stop_leading(pool.id)
         self.dirty.update(self.pools)
         self.schedule()
 
-    def _start_granting(self, pool: PoolSpec) -> None:
+    def _start_leading(self, pool: PoolSpec) -> None:
         ledger = self.book.ledger(ServiceId(pool.service))
         fair = self.settings.scheduling != "first-come"
         granter = PoolGranter(pool, ledger, fair)
-        self.granting[pool.id] = Granting(granter, self.clock())
+        self.led_pools[pool.id] = LedPool(granter, self.clock())
 
-    def _stop_granting(self, pool_id: PoolId) -> None:
-        self.granting.pop(pool_id).granter.close()
+    def _stop_leading(self, pool_id: PoolId) -> None:
+        self.led_pools.pop(pool_id).granter.close()
 
-    def granter_of(self, pool: PoolSpec) -> RouterId:
-        """Return the router that grants `pool`."""
-        if self.alone:
+    def leader_of(self, pool: PoolSpec) -> RouterId:
+        """Return the leader of `pool`."""
+        if self.leads_all:
             return self.own
         return self.membership.responsible(pool.id, pool.data_centre)
 
     # Links
 
     def opened(self, link: Link) -> None:
-        """Greet the peer on a new link."""
+        """Send the hello frame on a new link."""
         own = self.membership.own
         frame = self.new_frame()
         frame.hello.router = own.router
@@ -179,14 +179,14 @@
         link.send(frame)
 
     def closed(self, link: Link) -> None:
-        """Note that a link has ended."""
+        """Remove a link that was closed."""
         router = RouterId(link.router)
         if self.links.get(router) is link:
             del self.links[router]
             self.reassign()
 
     def received(self, link: Link, frame: peer_pb2.Frame) -> None:
-        """Take a frame from a peer; one that makes no sense ends the link."""
+        """Process a frame from a peer; an invalid one closes the link."""
         first = not link.greeted
         if frame.HasField("hello"):
             self._greet(link, frame.hello)
@@ -198,15 +198,17 @@
         try:
             self._take(router, link, frame, first)
         except (KeyError, ValueError) as error:
-            logger.warning("bad frame", extra={"peer": router, "reason": repr(error)})
+            logger.warning(
+                "invalid frame", extra={"peer": router, "reason": repr(error)}
+            )
             link.close()
 
     def _take(
         self, router: RouterId, link: Link, frame: peer_pb2.Frame, first: bool
     ) -> None:
         link.names.learn(frame)
-        self._refresh(router, frame.sent_ms)
-        if not self.alone:
+        self._update_basis(router, frame.sent_ms)
+        if not self.leads_all:
             for rows in frame.rows:
                 self.book.read(router, rows, link.names, first)
         for report in frame.reports:
@@ -231,62 +233,62 @@
             before.close()
         data_centre = DataCentreId(hello.data_centre)
         if self.membership.joined(router, data_centre, hello.incarnation):
-            for granting in self.granting.values():
-                granting.granter.drop(router)
+            for led_pool in self.led_pools.values():
+                led_pool.granter.drop(router)
             self.book.restart(router)
         self.links[router] = link
 
-    def silent(self, routers: list[RouterId]) -> None:
-        """Take routers for dead that were silent too long."""
+    def _remove_peers(self, routers: list[RouterId]) -> None:
+        """Remove the links and state of routers that are considered failed."""
         for router in routers:
             link = self.links.pop(router, None)
             if link is not None:
                 link.close()
-            for granting in self.granting.values():
-                granting.granter.lose(router)
+            for led_pool in self.led_pools.values():
+                led_pool.granter.remove_failed(router)
             self.book.drop(router)
         if routers:
             self.reassign()
 
     # Demand
 
-    def demanded(self, service: ServiceId, organisation: OrganisationId) -> None:
-        """Note that work waits; granters that do not know of it hear soon."""
+    def demand_changed(self, service: ServiceId, organisation: OrganisationId) -> None:
+        """Schedule reports of waiting work to leaders that do not know of it."""
         for pool in self.by_service.get(service, ()):
             self.dirty.add(pool.id)
-            if self.reporter.is_news(pool, organisation):
+            if self.reporter.needs_report(pool, organisation):
                 self.schedule()
 
-    def released(self, service: ServiceId, organisation: OrganisationId) -> None:
-        """Note that a slot is free; its granter hears soon."""
+    def slot_released(self, service: ServiceId, organisation: OrganisationId) -> None:
+        """Schedule reports of a slot that has become free."""
         for pool in self.by_service.get(service, ()):
-            self.reporter.is_news(pool, organisation)
+            self.reporter.needs_report(pool, organisation)
             self.dirty.add(pool.id)
         self.schedule()
 
-    def _look_again(self, pool: PoolSpec, seconds: float) -> None:
+    def _report_later(self, pool: PoolSpec, seconds: float) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(seconds + FLUSH_GAP, self._mark, pool.id)
+        loop.call_later(seconds + MIN_FLUSH_INTERVAL, self._mark_dirty, pool.id)
 
-    def _mark(self, pool_id: PoolId) -> None:
+    def _mark_dirty(self, pool_id: PoolId) -> None:
         self.dirty.add(pool_id)
         self.schedule()
 
     def schedule(self) -> None:
-        """Report soon, but not more often than every `FLUSH_GAP`."""
+        """Schedule a round of reports, at most one each `MIN_FLUSH_INTERVAL`."""
         if self.flush_timer is not None:
             return
         loop = asyncio.get_running_loop()
-        wait = self.last_flush + FLUSH_GAP - loop.time()
+        wait = self.last_flush + MIN_FLUSH_INTERVAL - loop.time()
         self.flush_timer = loop.call_later(max(0.0, wait), self.flush)
 
     def flush(self, everyone: bool = False) -> None:
-        """Report news to the granters.
+        """Report changes to the leaders of pools.
 
         Parameters
         ----------
         everyone : bool
-            Whether every peer gets a frame, with changed service rows at least.
+            Whether every peer gets a frame, at least with the changed service rows.
         """
         if self.flush_timer is not None:
             self.flush_timer.cancel()
@@ -302,7 +304,7 @@
                 link = self.links[router]
                 self.book.write(frame, link.names, link.cursor)
                 link.send(frame)
-        self._take_own(frames[self.own])
+        self._process_own_reports(frames[self.own])
         self.grant()
 
     def _write_report(
@@ -311,13 +313,13 @@
         pool = self.pools.get(pool_id)
         if pool is None:
             return
-        granter = self.granter_of(pool)
-        link = self.links.get(granter)
+        leader = self.leader_of(pool)
+        link = self.links.get(leader)
         if link is not None:
-            # Without one it is reported when a link is there again.
-            self.reporter.write(frames[granter], pool, granter, link)
+            # Without a link the pool is reported once there is a new one.
+            self.reporter.write(frames[leader], pool, leader, link)
 
-    def _take_own(self, frame: peer_pb2.Frame) -> None:
+    def _process_own_reports(self, frame: peer_pb2.Frame) -> None:
         loopback = self.links[self.own]
         loopback.names.learn(frame)
         for report in frame.reports:
@@ -326,30 +328,30 @@
     def _take_report(
         self, router: RouterId, link: Link, report: peer_pb2.PoolReport, sent_ms: int
     ) -> None:
-        granting = self.granting.get(PoolId(link.names.name(report.pool)))
-        if granting is None:
+        led_pool = self.led_pools.get(PoolId(link.names.name(report.pool)))
+        if led_pool is None:
             return
-        granting.granter.report(router, report, link.names, sent_ms, self.clock())
-        granting.reported.add(router)
+        led_pool.granter.report(router, report, link.names, sent_ms, self.clock())
+        led_pool.reported.add(router)
 
-    def _refresh(self, router: RouterId, sent_ms: int) -> None:
-        """Let grants to a holder answer its newest frame."""
-        for granting in self.granting.values():
-            holder = granting.granter.holders.get(router)
+    def _update_basis(self, router: RouterId, sent_ms: int) -> None:
+        """Make the newest frame of a holder the basis of further grants to it."""
+        for led_pool in self.led_pools.values():
+            holder = led_pool.granter.holders.get(router)
             if holder is not None:
                 holder.basis_ms = sent_ms
 
     # Grants
 
     def grant(self) -> None:
-        """Decide the grants of every pool granted here and send them."""
+        """Decide on the grants of every pool that this router leads, and send them."""
         frames: dict[RouterId, peer_pb2.Frame] = {}
-        self._refresh(self.own, self._now_ms())
-        for pool_id, granting in self.granting.items():
-            if not self._is_settled(granting):
+        self._update_basis(self.own, self._now_ms())
+        for pool_id, led_pool in self.led_pools.items():
+            if not self._is_ready(led_pool):
                 continue
-            for decision in granting.granter.decide():
-                basis_ms = granting.granter.holders[decision.holder].basis_ms
+            for decision in led_pool.granter.decide():
+                basis_ms = led_pool.granter.holders[decision.holder].basis_ms
                 self._add_grant(pool_id, decision, basis_ms, frames)
         for router, frame in frames.items():
             link = self.links[router]
@@ -360,13 +362,13 @@
             else:
                 link.send(frame)
 
-    def _is_settled(self, granting: Granting) -> bool:
-        if granting.settled:
+    def _is_ready(self, led_pool: LedPool) -> bool:
+        if led_pool.ready:
             return True
         live = {member.router for member in self.membership.live()}
-        late = self.clock() - granting.since > SETTLING
-        granting.settled = self.alone or late or live <= granting.reported
-        return granting.settled
+        timed_out = self.clock() - led_pool.since > REPORTS_TIMEOUT
+        led_pool.ready = self.leads_all or timed_out or live <= led_pool.reported
+        return led_pool.ready
 
     def _add_grant(
         self,
@@ -377,7 +379,7 @@
     ) -> None:
         link = self.links.get(decision.holder)
         if link is None:
-            # Dropped with the holder, or reported anew on its next link.
+            # The grant is removed with the holder, or by its full report on a new link.
             return
         frame = frames.get(decision.holder)
         if frame is None:
@@ -396,31 +398,32 @@
             return
         organisation = OrganisationId(link.names.name(grant.organisation))
         endpoint = EndpointId(link.names.name(grant.endpoint))
-        self.reporter.note_grant(pool, organisation, grant.sequence)
+        self.reporter.record_grant(pool, organisation, grant.sequence)
         self.dirty.add(pool.id)
-        lapsed = self._now_ms() - grant.basis_ms > GRANT_LIFETIME * 1000
-        if lapsed:
-            logger.info("grant lapsed", extra={"pool": pool.id})
+        expired = self._now_ms() - grant.basis_ms > MAX_GRANT_AGE * 1000
+        if expired:
+            logger.info("grant expired", extra={"pool": pool.id})
         service = ServiceId(pool.service)
-        if lapsed or not self.dispatcher.granted(service, organisation, endpoint):
-            # Given back: its granter hears soon. Other news of a grant can wait.
+        if expired or not self.dispatcher.granted(service, organisation, endpoint):
+            # The slot is returned, which is reported at once. An accepted grant is
+            # acknowledged with the next report.
             self.reporter.hold_back(pool, organisation)
             self.schedule()
         else:
-            self.demanded(service, organisation)
+            self.demand_changed(service, organisation)
 
     # Heartbeats
 
     def beat(self) -> None:
-        """Send a heartbeat with changed service rows to every peer."""
-        self.silent(self.membership.expire())
+        """Send a heartbeat with the changed service rows to every peer."""
+        self._remove_peers(self.membership.expire())
         self.membership.remove_failed(FORGET_TIMEOUT)
         self.book.tidy(self.membership.members)
         self.dirty.update(self.pools)
         self.flush(everyone=True)
 
     def new_frame(self) -> peer_pb2.Frame:
-        """Return a frame with what every frame holds."""
+        """Return a frame with the fields that every frame contains."""
         return peer_pb2.Frame(
             sent_ms=self._now_ms(),
             revision=self.revision,
--- a/carawayfold/coordination/slots/health.py
+++ b/carawayfold/coordination/slots/health.py
@@ -1,4 +1,4 @@
-"""Health of endpoints, judged by their answers."""
+"""Health of endpoints, estimated from their responses."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 
     from carawayfold.state.ids import EndpointId
 
-#: Factor by which a failure cuts the share of slots that is used.
-CUT = 0.5
-#: Least share that a success starts from.
-LEAST = 0.05
-#: Share regained by each success.
-REGAIN = 0.05
-#: Failures in a row after which an endpoint rests.
-FAILURES_TO_REST = 3
-#: Seconds of the first rest; each further one is twice as long.
-FIRST_REST = 0.5
-LONGEST_REST = 8.0
+#: Factor applied to the used fraction of an endpoint's slots for each failure.
+FAILURE_FACTOR = 0.5
+#: Lower limit of the used fraction after failures.
+MIN_FACTOR = 0.05
+#: Increase of the used fraction for each success.
+SUCCESS_INCREMENT = 0.05
+#: Consecutive failures after which an endpoint gets no requests for some time.
+FAILURES_BEFORE_BACKOFF = 3
+#: Seconds of the first backoff, doubled by each further failure, and the upper limit.
+MIN_BACKOFF_DURATION = 0.5
+MAX_BACKOFF_DURATION = 8.0
 
 
 class EndpointHealth(msgspec.Struct):
-    """Experience with one endpoint.
+    """Health of one endpoint.
 
     Attributes
     ----------
     factor : float
-        Share of the endpoint's slots to use, 0 to 1.
+        Fraction of the endpoint's slots to use, 0 to 1.
     failures : int
-        Failures in a row.
-    rests_until : float
-        Monotonic seconds before which it gets nothing.
+        Consecutive failures.
+    backoff_until : float
+        Monotonic seconds until which it gets no requests.
     """
 
     factor: float = 1.0
     failures: int = 0
-    rests_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 class HealthBook:
@@ -53,35 +53,35 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        #: Endpoints that are not fully healthy.
+        #: Endpoints with a factor below 1.
         self.entries: dict[EndpointId, EndpointHealth] = {}
 
     def failed(self, endpoint: EndpointId) -> None:
-        """Note a failure of the endpoint, not of a request's content."""
+        """Record a failure that the endpoint caused, not the content of a request."""
         entry = self.entries.setdefault(endpoint, EndpointHealth())
         entry.failures += 1
-        entry.factor = max(LEAST, entry.factor * CUT)
-        over = entry.failures - FAILURES_TO_REST
-        if over >= 0:
-            rest = min(LONGEST_REST, FIRST_REST * 2**over)
-            entry.rests_until = self.clock() + rest
+        entry.factor = max(MIN_FACTOR, entry.factor * FAILURE_FACTOR)
+        excess = entry.failures - FAILURES_BEFORE_BACKOFF
+        if excess >= 0:
+            backoff = min(MAX_BACKOFF_DURATION, MIN_BACKOFF_DURATION * 2**excess)
+            entry.backoff_until = self.clock() + backoff
 
     def succeeded(self, endpoint: EndpointId) -> None:
-        """Note a whole answer."""
+        """Record a complete response."""
         entry = self.entries.get(endpoint)
         if entry is None:
             return
         entry.failures = 0
-        entry.rests_until = 0.0
-        entry.factor += REGAIN
+        entry.backoff_until = 0.0
+        entry.factor += SUCCESS_INCREMENT
         if entry.factor >= 1.0:
             del self.entries[endpoint]
 
     def factor(self, endpoint: EndpointId) -> float:
-        """Return the share of the endpoint's slots to use, 0 while it rests."""
+        """Return the fraction of the endpoint's slots to use, 0 during a backoff."""
         entry = self.entries.get(endpoint)
         if entry is None:
             return 1.0
-        if self.clock() < entry.rests_until:
+        if self.clock() < entry.backoff_until:
             return 0.0
         return entry.factor
--- a/carawayfold/coordination/slots/link_fleet.py
+++ b/carawayfold/coordination/slots/link_fleet.py
@@ -1,4 +1,7 @@
-"""The routers of the product's own interface, as verdicts on contents need them."""
+"""Messages between routers over links, with the interface of `Fleet`.
+
+Used for verdicts on contents where routers serve the product's own interface.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,14 @@
 
 
 class LinkFleet:
-    """Sends messages over the links between routers; these lose none while they last.
+    """Sends messages over the links between routers, without loss while a link lasts.
 
     Parameters
     ----------
     exchange : Exchange
-        The links.
+        Owns the links.
     membership : Membership
-        Who is live.
+        The live routers.
     """
 
     def __init__(self, exchange: Exchange, membership: Membership) -> None:
@@ -35,11 +38,11 @@
         self.loop = asyncio.get_running_loop()
 
     def responsible(self, subject: str) -> RouterId:
-        """Return the router that looks after a subject."""
+        """Return the router responsible for a subject."""
         return self.membership.responsible(subject)
 
     def send(self, router: RouterId, message: Message) -> bool:
-        """Send a message; return whether there is a link."""
+        """Send a message to a router; return whether it is linked."""
         link = self.exchange.links.get(router)
         if link is None or router == self.own.router:
             return False
@@ -59,17 +62,24 @@
             self.send(router, message)
 
     def passed_on_to(self, sender: RouterId) -> list[RouterId]:
-        """Return nobody: every router is linked to every other one near."""
+        """Return no routers: nearby routers are all linked to each other."""
         return []
 
 
 def take_messages(data: list[bytes], take: Callable[[Datagram], None]) -> None:
-    """Hand on the messages of a frame.
+    """Decode the messages of a frame and pass them to a handler.
+
+    Parameters
+    ----------
+    data : list of bytes
+        Encoded datagrams.
+    take : callable
+        Handles one datagram.
 
     Raises
     ------
     ValueError
-        If they make no sense.
+        If one of them cannot be decoded.
     """
     for item in data:
         take(decode(item))
--- a/carawayfold/coordination/slots/loads.py
+++ b/carawayfold/coordination/slots/loads.py
@@ -1,8 +1,9 @@
-"""Load reports of endpoints: work in them that no router accounts for.
+"""Polling of the load of endpoints, to detect work that no router accounts for.
 
-A router that froze or was cut off leaves its requests running; its slots come free
-after its silence, but the endpoint is still busy. What an endpoint reports beyond
-what its granter knows of is such foreign load, and takes slots away.
+When a router freezes or is disconnected, its requests continue to run. Its slots are
+released once it is considered failed, but the endpoint is still busy. Load that an
+endpoint reports beyond what the leader of its pool accounts for is foreign load, and
+reduces the free slots.
 """
 
 from __future__ import annotations
@@ -22,20 +23,20 @@
     from carawayfold.state.view import ConfigView
     from carawayfold.transport.client import HttpClient
 
-#: Seconds between two looks at an endpoint's load.
-INTERVAL = 1.0
-#: Seconds that an endpoint may take to report it.
-TIMEOUT = 0.5
-PATH = "/load"
+#: Seconds between two load queries of an endpoint.
+LOAD_INTERVAL = 1.0
+#: Timeout of a load query, in seconds.
+LOAD_TIMEOUT = 0.5
+LOAD_PATH = "/load"
 
 
 class LoadReport(msgspec.Struct):
-    """What an endpoint says of itself.
+    """Load reported by an endpoint.
 
     Attributes
     ----------
     running, waiting : int
-        Requests in it.
+        Requests in the endpoint.
     """
 
     running: int
@@ -43,16 +44,16 @@
 
 
 class LoadWatcher:
-    """Asks the endpoints of the pools granted here for their load.
+    """Queries the load of the endpoints of all pools that this router leads.
 
     Parameters
     ----------
     http : HttpClient
         Connections to endpoints.
     view : ConfigView
-        Their addresses.
+        Addresses of the endpoints.
     exchange : Exchange
-        Knows the pools.
+        Pools that this router leads.
     """
 
     def __init__(self, http: HttpClient, view: ConfigView, exchange: Exchange) -> None:
@@ -61,29 +62,35 @@
         self.exchange = exchange
 
     async def watch(self) -> None:
-        """Look again and again; alone, other routers' work is none of ours."""
-        while not self.exchange.alone:
-            await asyncio.sleep(INTERVAL)
-            granters = [entry.granter for entry in self.exchange.granting.values()]
+        """Query all endpoints periodically, until cancelled.
+
+        Returns at once if every router leads all pools: work of other routers is then
+        expected in the endpoints.
+        """
+        while not self.exchange.leads_all:
+            await asyncio.sleep(LOAD_INTERVAL)
+            granters = [entry.granter for entry in self.exchange.led_pools.values()]
             await asyncio.gather(
                 *(
-                    self.look(granter, endpoint)
+                    self.query(granter, endpoint)
                     for granter in granters
                     for endpoint in granter.spec.slots
                 )
             )
             self.exchange.grant()
 
-    async def look(self, granter: PoolGranter, endpoint: EndpointId) -> None:
-        """Ask one endpoint; one that does not answer keeps its last report."""
+    async def query(self, granter: PoolGranter, endpoint: EndpointId) -> None:
+        """Query one endpoint; without an answer its last report stays in force."""
         known = self.view.endpoints.get(endpoint)
         if known is None:
             return
-        granter.begin_look(endpoint)
+        granter.begin_load_query(endpoint)
         address = Address(known.host, known.port)
         try:
-            answer = await self.http.fetch(address, "GET", PATH, timeout=TIMEOUT)
+            answer = await self.http.fetch(
+                address, "GET", LOAD_PATH, timeout=LOAD_TIMEOUT
+            )
             report = msgspec.json.decode(answer.body, type=LoadReport)
         except (ExchangeError, msgspec.MsgspecError, UnicodeDecodeError):
             return
-        granter.end_look(endpoint, report.running + report.waiting)
+        granter.end_load_query(endpoint, report.running + report.waiting)
--- a/carawayfold/coordination/slots/pool.py
+++ b/carawayfold/coordination/slots/pool.py
@@ -1,8 +1,9 @@
-"""Granting the slots of one pool: who goes next, and where.
+"""Grants of the slots of one pool: the order of organisations and choice of endpoints.
 
-A pool is a group of endpoints of one service in one data centre. One router, its
-granter, hands out the slots. Everything here is computed from reports of
-absolute state, so that a lost, repeated or late report does no lasting harm.
+A pool is a group of endpoints of one service in one data centre. One router, the leader
+of the pool, grants its slots to the holders, the routers at which requests wait. All
+state here is computed from reports of absolute values, so that a lost, repeated or late
+report has no lasting effect.
 """
 
 from __future__ import annotations
@@ -20,12 +21,13 @@
     from carawayfold.protocol.names import NameTable
     from carawayfold.state.ledger import ServiceLedger
 
-#: Seconds of age that each grant on its way takes off a holder's claim to the next.
-PROMISED_AGE = 0.01
+#: Seconds by which each unacknowledged grant reduces the age of a holder's demand when
+#: holders are compared.
+AGE_PER_PENDING_GRANT = 0.01
 
 
 class PoolSpec(msgspec.Struct, frozen=True):
-    """Which endpoints a pool holds.
+    """The endpoints of a pool.
 
     Attributes
     ----------
@@ -53,26 +55,26 @@
     Attributes
     ----------
     count : int
-        Requests waiting when the holder reported.
-    promised : int
-        Grants not yet acknowledged.
+        Number of requests that waited when the holder reported.
+    pending_grants : int
+        Number of grants not acknowledged yet.
     since : float
-        Arrival of the oldest request, in seconds of the granter's clock.
+        Arrival of the oldest request, in seconds of the leader's clock.
     """
 
     count: int = 0
     urgent: bool = False
     since: float = 0.0
-    promised: int = 0
+    pending_grants: int = 0
 
     @property
     def unmet(self) -> int:
-        """Return how many requests wait without a grant."""
-        return self.count - self.promised
+        """Return the number of requests that wait without a grant."""
+        return self.count - self.pending_grants
 
 
 class Holder(msgspec.Struct):
-    """What the granter knows of one router that holds requests."""
+    """State of one router that holds requests, as reported to the leader."""
 
     demands: dict[OrganisationId, Demand] = msgspec.field(default_factory=dict)
     in_flight: dict[EndpointId, int] = msgspec.field(default_factory=dict)
@@ -81,12 +83,12 @@
     basis_ms: int = 0
 
     def can_reach(self, endpoint: EndpointId) -> bool:
-        """Return whether the holder would send anything to `endpoint`."""
+        """Return whether the holder may send requests to `endpoint`, by its health."""
         return self.health.get(endpoint, 1.0) > 0
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """A slot given to one organisation's work at one holder."""
+    """Grant of a slot to the work of one organisation at one holder."""
 
     holder: RouterId
     sequence: int
@@ -95,16 +97,16 @@
 
 
 class PoolGranter:
-    """Decides the grants of one pool.
+    """Decides on the grants of one pool.
 
     Parameters
     ----------
     spec : PoolSpec
         Endpoints and slots.
     ledger : ServiceLedger
-        Service received per organisation.
+        Service received by each organisation.
     fair : bool
-        False grants in order of arrival instead; a baseline for measurement.
+        Whether to grant by fair shares; False is the baseline in order of arrival.
     """
 
     def __init__(
@@ -117,17 +119,17 @@
         #: Holders with waiting work, by organisation.
         self.backlog: dict[OrganisationId, set[RouterId]] = {}
         self.used: dict[EndpointId, int] = dict.fromkeys(spec.slots, 0)
-        #: Most slots that were in use since an endpoint was last asked for its load.
+        #: Maximum of the slots in use since the last load query of each endpoint.
         self.peak: dict[EndpointId, int] = {}
-        #: Work in endpoints that no holder accounts for.
+        #: Requests in each endpoint that no holder accounts for.
         self.foreign: dict[EndpointId, int] = {}
         self.sequence = 0
         self.order = RankOrder()
-        #: Organisations whose rank may have fallen since it was entered.
-        self.lowered = ledger.watch()
+        #: Organisations whose rank may have become lower since it was last entered.
+        self.possibly_lowered = ledger.watch()
 
-    def respecify(self, spec: PoolSpec) -> None:
-        """Take a changed set of endpoints or slots."""
+    def update_spec(self, spec: PoolSpec) -> None:
+        """Apply a changed set of endpoints or slots."""
         self.spec = spec
         for endpoint in spec.slots:
             if endpoint not in self.used:
@@ -141,20 +143,20 @@
         basis_ms: int,
         now: float,
     ) -> None:
-        """Take a holder's report.
+        """Process a report of a holder.
 
         Parameters
         ----------
         router : RouterId
             The holder.
         report : PoolReport
-            Changes since its last report, or everything.
+            Changes since its last report, or its full state.
         names : NameTable
-            Names of the link that the report came on.
+            Names known on the link that the report arrived on.
         basis_ms : int
-            Holder's clock at the report; echoed in grants.
+            Milliseconds of the holder's clock at the report; echoed in grants.
         now : float
-            Granter's clock, in seconds.
+            Seconds of the leader's clock.
         """
         if report.full:
             self.drop(router)
@@ -168,28 +170,28 @@
             organisation = OrganisationId(names.name(waiting.organisation))
             self._set_waiting(router, holder, organisation, waiting, now)
 
-    def begin_look(self, endpoint: EndpointId) -> None:
-        """Note that an endpoint is being asked for its load."""
+    def begin_load_query(self, endpoint: EndpointId) -> None:
+        """Begin a load query of an endpoint."""
         self.peak[endpoint] = self.used.get(endpoint, 0)
 
-    def end_look(self, endpoint: EndpointId, load: int) -> None:
-        """Take an endpoint's report, which is older than its arrival.
+    def end_load_query(self, endpoint: EndpointId, load: int) -> None:
+        """Process the load that an endpoint reported, which may be outdated.
 
-        Work that a holder had there at any time since the question is not foreign,
-        so that a late report takes no slot away.
+        Work that a holder had at the endpoint at any time since the query began is not
+        foreign, so that an outdated report does not reduce the free slots.
         """
         self.foreign[endpoint] = max(0, load - self.peak.get(endpoint, 0))
 
     def close(self) -> None:
-        """Forget everything, when another router grants the pool."""
+        """Remove all state, when another router becomes the leader of the pool."""
         for router in list(self.holders):
             self.drop(router)
-        self.ledger.unwatch(self.lowered)
+        self.ledger.unwatch(self.possibly_lowered)
 
-    def lose(self, router: RouterId) -> None:
-        """Drop a holder that fell silent; what it runs may go on.
+    def remove_failed(self, router: RouterId) -> None:
+        """Remove a failed holder, whose requests may still be running.
 
-        Its slots stay taken until the endpoints have been asked for their load.
+        Its slots remain in use until the endpoints have been queried for their load.
         """
         holder = self.holders.get(router)
         if holder is None:
@@ -199,7 +201,7 @@
         self.drop(router)
 
     def drop(self, router: RouterId) -> None:
-        """Forget a holder: its waiting work, its slots and its grants."""
+        """Remove a holder with its waiting work, slots and grants."""
         holder = self.holders.pop(router, None)
         if holder is None:
             return
@@ -210,21 +212,21 @@
             self._reserve(grant.organisation, -1)
         for organisation in holder.demands:
             self._leave_backlog(organisation, router)
-        self.lowered.update(holder.demands)
+        self.possibly_lowered.update(holder.demands)
 
     def decide(self) -> list[Decision]:
-        """Hand out free slots to waiting work until one of them runs out."""
+        """Grant free slots to waiting work until either is exhausted."""
         free = self._free_endpoints()
         if not free:
             return []
-        self._rank_lowered()
+        self._update_lowered_ranks()
         decisions: list[Decision] = []
         unreachable: list[OrganisationId] = []
         organisation = self.order.first()
         while free and organisation is not None:
             rank = self._rank(organisation)
             if rank > self.order.ranks[organisation]:
-                # Its rank rose since it was entered; others may go first.
+                # Its rank rose since it was entered, so others may precede it.
                 self.order.enter(organisation, rank)
             elif router := self._choose_holder(organisation, free):
                 if self.fair:
@@ -239,14 +241,14 @@
             self._enter(organisation)
         return decisions
 
-    def _rank_lowered(self) -> None:
-        while self.lowered:
-            organisation = self.lowered.pop()
+    def _update_lowered_ranks(self) -> None:
+        while self.possibly_lowered:
+            organisation = self.possibly_lowered.pop()
             if organisation in self.order.ranks:
                 self.order.enter(organisation, self._rank(organisation))
 
     def _enter(self, organisation: OrganisationId) -> None:
-        """Enter an organisation in the order if it has work without a grant."""
+        """Rank an organisation with work that has no grant, remove it otherwise."""
         if self._has_unmet(organisation):
             self.order.enter(organisation, self._rank(organisation))
         else:
@@ -274,7 +276,10 @@
             demand = holder.demands[organisation]
             if demand.unmet <= 0 or not any(map(holder.can_reach, free)):
                 continue
-            rank = (not demand.urgent, demand.since + demand.promised * PROMISED_AGE)
+            rank = (
+                not demand.urgent,
+                demand.since + demand.pending_grants * AGE_PER_PENDING_GRANT,
+            )
             if best_rank is None or rank < best_rank:
                 best, best_rank = router, rank
         return best
@@ -292,7 +297,7 @@
             del free[endpoint]
         self.sequence += 1
         holder.pending.append(GrantRecord(self.sequence, endpoint, organisation))
-        holder.demands[organisation].promised += 1
+        holder.demands[organisation].pending_grants += 1
         self._add_used(endpoint, 1)
         self._reserve(organisation, 1)
         return Decision(router, self.sequence, endpoint, organisation)
@@ -301,17 +306,17 @@
         free: dict[EndpointId, int] = {}
         for endpoint, slots in self.spec.slots.items():
             taken = self.used.get(endpoint, 0) + self.foreign.get(endpoint, 0)
-            count = self._bound(endpoint, slots) - taken
+            count = self._usable_slots(endpoint, slots) - taken
             if count > 0:
                 free[endpoint] = count
         return free
 
-    def _bound(self, endpoint: EndpointId, slots: int) -> int:
+    def _usable_slots(self, endpoint: EndpointId, slots: int) -> int:
         factors = [holder.health.get(endpoint, 1.0) for holder in self.holders.values()]
         if not any(factors):
             return 0
-        # The mean, so that one router's bad line does not idle an endpoint that
-        # the others can reach.
+        # The mean of all holders, so that one holder's faulty connection does not leave
+        # an endpoint idle that the others can reach.
         return max(1, int(slots * sum(factors) / len(factors)))
 
     def _acknowledge(self, holder: Holder, sequence: int) -> None:
@@ -322,8 +327,8 @@
             demand = holder.demands.get(grant.organisation)
             if demand is None:
                 continue
-            demand.promised -= 1
-            if not demand.promised and not demand.count:
+            demand.pending_grants -= 1
+            if not demand.pending_grants and not demand.count:
                 del holder.demands[grant.organisation]
             else:
                 self._enter(grant.organisation)
@@ -358,8 +363,8 @@
             self._enter(organisation)
             return
         self._leave_backlog(organisation, router)
-        # Kept while grants are on their way, to count them down.
-        if not demand.promised:
+        # Kept until all pending grants have been acknowledged.
+        if not demand.pending_grants:
             del holder.demands[organisation]
 
     def _leave_backlog(self, organisation: OrganisationId, router: RouterId) -> None:
@@ -384,9 +389,9 @@
         running = sum(
             holder.in_flight.get(endpoint, 0) for holder in self.holders.values()
         )
-        promised = sum(
+        pending_grants = sum(
             grant.endpoint == endpoint
             for holder in self.holders.values()
             for grant in holder.pending
         )
-        return running + promised
+        return running + pending_grants
--- a/carawayfold/coordination/slots/pools.py
+++ b/carawayfold/coordination/slots/pools.py
@@ -1,4 +1,4 @@
-"""Which pools the configured endpoints form."""
+"""Division of the configured endpoints into pools."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     from carawayfold.settings import Settings
     from carawayfold.state.configuration import Snapshot
 
-#: Most endpoints of one pool, so that the work of granting is spread.
-POOL_SIZE = 8
-#: Slots of an endpoint where the baseline sets no bound.
-UNBOUNDED = 1_000_000
+#: Endpoints of a pool at most; small pools distribute the work of granting.
+MAX_POOL_SIZE = 8
+#: Slots of an endpoint or endpoints of a pool where a baseline has no limit.
+UNLIMITED = 1_000_000
 
 
 def build_pools(
     snapshot: Snapshot,
     leaving: Collection[str],
     settings: Settings,
-    near_only: bool = False,
+    local_only: bool = False,
 ) -> list[PoolSpec]:
     """Return the pools of a configuration.
 
@@ -33,11 +33,11 @@
     snapshot : Snapshot
         The configuration.
     leaving : collection of str
-        Endpoints that the platform says are leaving.
+        Endpoints that the platform reports as leaving.
     settings : Settings
-        The scheduling policy; baselines use one pool a service.
-    near_only : bool
-        Leave out the pools of other data centres, whose granters are not linked.
+        The scheduling policy; baselines have a single pool for each service.
+    local_only : bool
+        Whether to omit pools of other data centres, whose leaders are not linked.
 
     Returns
     -------
@@ -49,7 +49,7 @@
         item = snapshot.entries[key].object
         if not isinstance(item, Endpoint) or item.draining or item.id in leaving:
             continue
-        if near_only and item.data_centre != settings.data_centre:
+        if local_only and item.data_centre != settings.data_centre:
             continue
         granted = settings.scheduling == "granted"
         data_centre = item.data_centre if granted else settings.data_centre
@@ -62,7 +62,7 @@
 
 
 def _pool_size(settings: Settings) -> int:
-    return POOL_SIZE if settings.scheduling == "granted" else UNBOUNDED
+    return MAX_POOL_SIZE if settings.scheduling == "granted" else UNLIMITED
 
 
 def _build_pool(
@@ -73,15 +73,15 @@
     settings: Settings,
 ) -> PoolSpec:
     size = _pool_size(settings)
-    part = endpoints[start : start + size]
-    slots = {EndpointId(item.id): _slots(item, settings) for item in part}
+    chosen = endpoints[start : start + size]
+    slots = {EndpointId(item.id): _slots(item, settings) for item in chosen}
     name = PoolId(f"{data_centre}/{service}/{start // size}")
     return PoolSpec(name, service, data_centre, slots)
 
 
 def _slots(endpoint: Endpoint, settings: Settings) -> int:
     if settings.scheduling == "first-come":
-        return UNBOUNDED
+        return UNLIMITED
     if settings.scheduling == "alone":
         return max(1, endpoint.slots // settings.routers_alone)
     return endpoint.slots
--- a/carawayfold/coordination/slots/reporting.py
+++ b/carawayfold/coordination/slots/reporting.py
@@ -1,4 +1,4 @@
-"""What a holder of requests tells the granters: no more than they need to know."""
+"""Reports from a holder of requests to the leaders of pools."""
 
 from __future__ import annotations
 
@@ -18,74 +18,78 @@
     from carawayfold.state.queue import OrganisationQueue
     from carawayfold.transport.links import Link
 
-#: A reported count is sent again once the true one differs by this factor.
-COUNT_FACTOR = 2
-#: Seconds for which demand is held back after a grant that no waiting request
-#: could use, since it had failed at that endpoint.
-HOLD_BACK = 0.05
+#: Ratio between the actual and the reported count above which it is reported again.
+MAX_COUNT_RATIO = 2
+#: Seconds for which demand is not reported after a grant that no waiting request could
+#: use, because all of them had failed at that endpoint.
+HOLD_BACK_DURATION = 0.05
 
 
-class KnownDemand(msgspec.Struct):
-    """Demand as the granter knows it.
+class ReportedDemand(msgspec.Struct):
+    """Demand of an organisation as known to the leader of a pool.
 
     Attributes
     ----------
-    left : int
-        Requests last reported, less the grants received since.
+    remaining : int
+        Number of requests last reported, minus the grants received since.
     """
 
-    left: int
+    remaining: int
     urgent: bool
 
-    def is_close(self, count: int, urgent: bool) -> bool:
-        """Return whether the granter need not be told of the true demand."""
-        if urgent != self.urgent or self.left <= 0:
+    def is_accurate_for(self, count: int, urgent: bool) -> bool:
+        """Return whether the actual demand is close enough to need no report."""
+        if urgent != self.urgent or self.remaining <= 0:
             return False
-        return self.left <= count * COUNT_FACTOR and count <= self.left * COUNT_FACTOR
+        return (
+            self.remaining <= count * MAX_COUNT_RATIO
+            and count <= self.remaining * MAX_COUNT_RATIO
+        )
 
 
 class SentReport(msgspec.Struct):
-    """What one pool's granter was last told.
+    """The last report to the leader of one pool.
 
     Attributes
     ----------
     dirty : set of OrganisationId
-        Organisations whose demand may have changed since.
+        Organisations whose demand may have changed since the last report.
     acknowledged : int
-        Last grant that was received.
-    told : int
-        Last grant that was acknowledged.
-    held_back : dict of OrganisationId to float
-        Times before which demand is not reported, since a grant was of no use.
+        Sequence number of the last grant received.
+    acknowledgement_sent : int
+        Sequence number of the last grant acknowledged in a report.
+    held_back_until : dict of OrganisationId to float
+        Monotonic seconds until which demand is not reported, after a grant that could
+        not be used.
     """
 
-    granter: RouterId
+    leader: RouterId
     link: Link
-    waiting: dict[OrganisationId, KnownDemand] = msgspec.field(default_factory=dict)
+    waiting: dict[OrganisationId, ReportedDemand] = msgspec.field(default_factory=dict)
     uses: dict[EndpointId, tuple[int, int]] = msgspec.field(default_factory=dict)
     dirty: set[OrganisationId] = msgspec.field(default_factory=set)
     acknowledged: int = 0
-    told: int = 0
-    held_back: dict[OrganisationId, float] = msgspec.field(default_factory=dict)
+    acknowledgement_sent: int = 0
+    held_back_until: dict[OrganisationId, float] = msgspec.field(default_factory=dict)
 
 
 class Reporter:
-    """Builds the reports of this router's demand and use of slots.
+    """Builds the reports of this router's demand and slots in use.
 
     Parameters
     ----------
     dispatcher : Dispatcher
         Requests held here.
-    health : HealthBook
-        Experience with endpoints.
+    health : EndpointHealthTracker
+        Health of endpoints.
     data_centre : str
-        This router's.
+        Data centre of this router.
     spread_delay : float
-        Seconds that work waits before granters of other data centres hear of it.
+        Seconds that work waits before it is reported to leaders in other data centres.
     clock : callable
         Returns monotonic seconds.
-    look_again : callable
-        Called with a pool and seconds after which to report it again.
+    report_later : callable
+        Called with a pool and the seconds after which to report it again.
     """
 
     def __init__(
@@ -95,18 +99,18 @@
         data_centre: str,
         spread_delay: float,
         clock: Callable[[], float],
-        look_again: Callable[[PoolSpec, float], None],
+        report_later: Callable[[PoolSpec, float], None],
     ) -> None:
         self.dispatcher = dispatcher
         self.health = health
         self.data_centre = data_centre
         self.spread_delay = spread_delay
         self.clock = clock
-        self.look_again = look_again
+        self.report_later = report_later
         self.sent: dict[str, SentReport] = {}
 
-    def is_news(self, pool: PoolSpec, organisation: OrganisationId) -> bool:
-        """Return whether the granter of `pool` does not know of waiting work."""
+    def needs_report(self, pool: PoolSpec, organisation: OrganisationId) -> bool:
+        """Return whether waiting work must be reported to the leader of `pool`."""
         sent = self.sent.get(pool.id)
         if sent is None:
             return True
@@ -115,12 +119,14 @@
         queue = self._queues(pool).get(organisation)
         if queue is None:
             return False
-        return known is None or not known.is_close(len(queue), bool(queue.urgent))
+        return known is None or not known.is_accurate_for(
+            len(queue), bool(queue.urgent)
+        )
 
-    def note_grant(
+    def record_grant(
         self, pool: PoolSpec, organisation: OrganisationId, sequence: int
     ) -> None:
-        """Note that a grant has arrived."""
+        """Record that a grant has arrived."""
         sent = self.sent.get(pool.id)
         if sent is None:
             return
@@ -128,33 +134,37 @@
         sent.dirty.add(organisation)
         known = sent.waiting.get(organisation)
         if known is not None:
-            known.left -= 1
+            known.remaining -= 1
 
     def hold_back(self, pool: PoolSpec, organisation: OrganisationId) -> None:
-        """Note that a grant could not be used by the work that waits."""
+        """Delay reports of demand after a grant that no waiting request could use."""
         sent = self.sent.get(pool.id)
         if sent is not None and organisation in self._queues(pool):
-            sent.held_back[organisation] = self.clock() + HOLD_BACK
-            self.look_again(pool, HOLD_BACK)
+            sent.held_back_until[organisation] = self.clock() + HOLD_BACK_DURATION
+            self.report_later(pool, HOLD_BACK_DURATION)
 
     def write(
-        self, frame: peer_pb2.Frame, pool: PoolSpec, granter: RouterId, link: Link
+        self, frame: peer_pb2.Frame, pool: PoolSpec, leader: RouterId, link: Link
     ) -> None:
-        """Add the report of `pool` to a frame for its granter, if there is news."""
+        """Add a report of `pool` to a frame for its leader, if anything has changed."""
         sent = self.sent.get(pool.id)
-        full = sent is None or sent.granter != granter or sent.link is not link
+        full = sent is None or sent.leader != leader or sent.link is not link
         if full:
-            sent = self.sent[pool.id] = SentReport(granter, link)
+            sent = self.sent[pool.id] = SentReport(leader, link)
             sent.dirty = set(self._queues(pool))
         number = link.names.number(pool.id, frame)
         report = frame.reports.add(pool=number, full=full)
         report.acknowledged = sent.acknowledged
         self._write_waiting(frame, report, pool, sent)
         self._write_uses(frame, report, pool, sent)
-        news = report.waiting or report.uses or sent.told != sent.acknowledged
-        if not news and not full:
+        has_changes = (
+            report.waiting
+            or report.uses
+            or sent.acknowledgement_sent != sent.acknowledged
+        )
+        if not has_changes and not full:
             del frame.reports[-1]
-        sent.told = sent.acknowledged
+        sent.acknowledgement_sent = sent.acknowledged
 
     def _queues(self, pool: PoolSpec) -> dict[OrganisationId, OrganisationQueue]:
         return self.dispatcher.queue(ServiceId(pool.service)).queues
@@ -170,11 +180,11 @@
         dirty, sent.dirty = sent.dirty, set()
         for organisation in dirty:
             queue = queues.get(organisation)
-            if self.clock() < sent.held_back.get(organisation, 0.0):
+            if self.clock() < sent.held_back_until.get(organisation, 0.0):
                 sent.dirty.add(organisation)
                 queue = None
             else:
-                sent.held_back.pop(organisation, None)
+                sent.held_back_until.pop(organisation, None)
             if queue is None:
                 if sent.waiting.pop(organisation, None) is not None:
                     number = sent.link.names.number(organisation, frame)
@@ -183,7 +193,7 @@
             age = self.clock() - queue.oldest()
             if pool.data_centre != self.data_centre and age < self.spread_delay:
                 sent.dirty.add(organisation)
-                self.look_again(pool, self.spread_delay - age)
+                self.report_later(pool, self.spread_delay - age)
                 continue
             self._write_demand(frame, report, sent, organisation, queue, age)
 
@@ -198,9 +208,9 @@
     ) -> None:
         count, urgent = len(queue), bool(queue.urgent)
         known = sent.waiting.get(organisation)
-        if known is not None and known.is_close(count, urgent):
+        if known is not None and known.is_accurate_for(count, urgent):
             return
-        sent.waiting[organisation] = KnownDemand(count, urgent)
+        sent.waiting[organisation] = ReportedDemand(count, urgent)
         report.waiting.add(
             organisation=sent.link.names.number(organisation, frame),
             count=count,
--- a/carawayfold/coordination/slots/service_book.py
+++ b/carawayfold/coordination/slots/service_book.py
@@ -1,4 +1,4 @@
-"""Service received across the fleet, from every router's rows."""
+"""Accounts of the service received in the fleet, from the rows of all routers."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class ServiceBook:
-    """Ledgers by service, fed from this router's rows and those of its peers.
+    """Ledgers by service, updated from the rows of this router and of its peers.
 
     Parameters
     ----------
     own : RouterId
         This router.
     rows : OwnRows
-        What it has measured.
+        Service received through this router.
     share_of : callable
         Returns the share of an organisation.
     """
@@ -52,7 +52,7 @@
         return ledger
 
     def write(self, frame: peer_pb2.Frame, names: NameTable, cursor: RowCursor) -> None:
-        """Add the rows changed since `cursor` to `frame`."""
+        """Add the rows that changed since `cursor` to `frame`."""
         by_service: dict[ServiceId, peer_pb2.ServiceRows] = {}
         for service, organisation, row in self.rows.since(cursor.version):
             rows = by_service.get(service)
@@ -75,7 +75,7 @@
         names: NameTable,
         first: bool,
     ) -> None:
-        """Take a peer's rows.
+        """Enter a peer's rows in the ledgers.
 
         Parameters
         ----------
@@ -84,10 +84,11 @@
         rows : ServiceRows
             Its changed rows.
         names : NameTable
-            Names of the link.
+            Names known on the link.
         first : bool
-            Whether they come with the first frame of a link: rows of a process
-            that is new to us are then a starting point, others catch up.
+            Whether they arrived with the first frame of a link. Unknown rows are then
+            a baseline that is not charged; for known rows the difference is charged
+            as catching up.
         """
         service = ServiceId(names.name(rows.service))
         seen = self.seen.setdefault(router, {})
@@ -101,7 +102,7 @@
             self._enter(service, organisation, before, row, first)
 
     def enter_own(self) -> None:
-        """Enter this router's own changed rows in the ledgers."""
+        """Enter the changed rows of this router in the ledgers."""
         seen = self.seen[self.own]
         for service, organisation, row in self.rows.since(self.cursor.version):
             before = _same_row(seen.pop((service, organisation), None), row)
@@ -117,7 +118,7 @@
         row: peer_pb2.Row | OwnRow,
         catching_up: bool = False,
     ) -> None:
-        """Enter what a row says beyond what was seen of it `before`."""
+        """Charge the difference between a row and its previous state `before`."""
         ledger = self.ledger(service)
         received = row.service - before.service
         requests = row.requests - before.requests
@@ -130,18 +131,18 @@
         before.heard = self.rows.clock()
 
     def restart(self, router: RouterId) -> None:
-        """Note that a peer has started with empty state."""
+        """Reset the rows of a peer that has restarted with empty state."""
         self.drop(router)
         self.seen[router] = {}
 
     def drop(self, router: RouterId) -> None:
-        """Take a dead peer's requests in flight out of the ledgers."""
+        """Remove the requests in flight of a failed peer from the ledgers."""
         for (service, organisation), row in self.seen.get(router, {}).items():
             self.ledger(service).reserve(organisation, -row.in_flight)
             row.in_flight = 0
 
     def tidy(self, known: Collection[RouterId]) -> None:
-        """Forget rows of routers that are not `known`, idle rows and accounts."""
+        """Remove idle rows and accounts, and the rows of routers not in `known`."""
         self.rows.expire()
         oldest = self.rows.clock() - SEEN_LIFETIME
         for rows in self.seen.values():
@@ -154,7 +155,7 @@
 
 
 def _same_row(before: SeenRow | None, row: peer_pb2.Row | OwnRow) -> SeenRow:
-    """Return what was seen of `row`, nothing if it began anew meanwhile."""
+    """Return the previous state of `row`, reset if the row was created anew since."""
     if before is None:
         return SeenRow(born=row.born)
     if before.born != row.born:
@@ -163,7 +164,7 @@
 
 
 def _expire(rows: dict[RowKey, SeenRow], oldest: float) -> None:
-    """Drop idle rows; they stand in the order of their last change."""
+    """Remove idle rows; rows are ordered by their last change."""
     for key, row in list(rows.items()):
         if row.heard > oldest:
             return
--- a/tests/coordination/slots/test_pool.py
+++ b/tests/coordination/slots/test_pool.py
@@ -1,4 +1,4 @@
-"""Granting the slots of a pool."""
+"""Grants of the slots of a pool."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_backlogged(granter, holders, costs, rounds, seed=1):
-    """Serve one request after the other; return service by organisation."""
+    """Complete requests one by one; return the service by organisation."""
     chance = random.Random(seed)
     received = dict.fromkeys(costs, 0.0)
     running = []
@@ -39,7 +39,7 @@
 
 
 def backlogged(fair=True, shares=None):
-    """Return a granter with two organisations backlogged at two holders."""
+    """Return a granter with a backlog of one organisation at each of two holders."""
     pool = granter(pool_spec(slots=4), shares, fair)
     holders = {name: Holder(name, pool) for name in ("router-1", "router-2")}
     holders["router-1"].report({ALDER: 10**6})
@@ -90,7 +90,7 @@
     assert pool.decide() == []
 
 
-def test_slots_of_a_dropped_holder_come_free():
+def test_slots_of_a_removed_holder_become_free():
     pool, holders = backlogged()
     pool.decide()
     pool.drop("router-1")
@@ -131,11 +131,11 @@
     assert abs(received[ALDER] - received[BIRCH]) <= 300
 
 
-def test_load_that_no_holder_accounts_for_takes_slots_away():
+def test_load_that_no_holder_accounts_for_reduces_the_free_slots():
     pool = granter(pool_spec(slots=4, endpoints=1))
     holder = Holder("router-1", pool)
-    pool.begin_look("endpoint-0")
-    pool.end_look("endpoint-0", 3)
+    pool.begin_load_query("endpoint-0")
+    pool.end_load_query("endpoint-0", 3)
     holder.report({ALDER: 10})
     assert len(pool.decide()) == 1
 
@@ -144,20 +144,20 @@
     pool = granter(pool_spec(slots=4, endpoints=1))
     holder = Holder("router-1", pool)
     holder.report(uses={"endpoint-0": 4})
-    pool.begin_look("endpoint-0")
+    pool.begin_load_query("endpoint-0")
     holder.report(uses={"endpoint-0": 0})
-    pool.end_look("endpoint-0", 4)
+    pool.end_load_query("endpoint-0", 4)
     holder.report({ALDER: 10})
     assert len(pool.decide()) == 4
 
 
-def test_slots_of_a_silent_holder_stay_taken_until_the_endpoint_was_asked():
+def test_slots_of_a_failed_holder_stay_in_use_until_the_endpoint_was_queried():
     pool = granter(pool_spec(slots=4, endpoints=1))
-    silent, other = Holder("router-1", pool), Holder("router-2", pool)
-    silent.report(uses={"endpoint-0": 4})
+    failed, other = Holder("router-1", pool), Holder("router-2", pool)
+    failed.report(uses={"endpoint-0": 4})
     other.report({ALDER: 10})
-    pool.lose("router-1")
+    pool.remove_failed("router-1")
     assert pool.decide() == []
-    pool.begin_look("endpoint-0")
-    pool.end_look("endpoint-0", 1)
+    pool.begin_load_query("endpoint-0")
+    pool.end_load_query("endpoint-0", 1)
     assert len(pool.decide()) == 3
