--- a/tests/coordination/fleet/test_fleet.py
+++ b/tests/coordination/fleet/test_fleet.py
@@ -16,18 +16,18 @@
 SETTLING_TIME = 5.0
 
 
-def agreed(fleet, place=None):
+def agreed(fleet, data_centre=None):
     """Return whether all routers, or those of a data centre, have the same leaders."""
-    return all(len(fleet.leaders(subject, place)) == 1 for subject in SUBJECTS)
+    return all(len(fleet.leaders(subject, data_centre)) == 1 for subject in SUBJECTS)
 
 
 def leader(fleet):
     return next(iter(fleet.leaders(SUBJECTS[0])))
 
 
-def run_scenario(scenario, count=67, places=4, **options):
+def run_scenario(scenario, count=67, data_centres=4, **options):
     async def run():
-        fleet = started(count, places, **options)
+        fleet = started(count, data_centres, **options)
         await asyncio.sleep(SETTLING_TIME)
         try:
             return await scenario(fleet)
@@ -37,30 +37,32 @@
     return simulate(run)
 
 
-@pytest.mark.parametrize(("count", "places"), [(9, 3), (MESH_MOST, 4)])
-def test_a_small_fleet_is_a_mesh(count, places):
+@pytest.mark.parametrize(("count", "data_centres"), [(9, 3), (MESH_MOST, 4)])
+def test_a_small_fleet_is_a_mesh(count, data_centres):
     async def scenario(fleet):
         return fleet.roles(), agreed(fleet)
 
-    assert run_scenario(scenario, count, places) == ({Role.MESH: count}, True)
+    assert run_scenario(scenario, count, data_centres) == ({Role.MESH: count}, True)
 
 
-@pytest.mark.parametrize(("count", "places"), [(MESH_MOST + 1, 3), (67, 4), (195, 5)])
-def test_a_large_fleet_has_three_hubs_in_each_data_centre(count, places):
+@pytest.mark.parametrize(
+    ("count", "data_centres"), [(MESH_MOST + 1, 3), (67, 4), (195, 5)]
+)
+def test_a_large_fleet_has_three_hubs_in_each_data_centre(count, data_centres):
     async def scenario(fleet):
-        hubs = HUBS_PER_DATA_CENTRE * places
+        hubs = HUBS_PER_DATA_CENTRE * data_centres
         assert fleet.roles() == {Role.HUB: hubs, Role.LEAF: count - hubs}
         assert all(
-            len(fleet.hubs(f"dc-{place}")) == HUBS_PER_DATA_CENTRE
-            for place in range(places)
+            len(fleet.hubs(f"dc-{data_centre}")) == HUBS_PER_DATA_CENTRE
+            for data_centre in range(data_centres)
         )
         return agreed(fleet)
 
-    assert run_scenario(scenario, count, places)
+    assert run_scenario(scenario, count, data_centres)
 
 
 def test_the_idle_traffic_of_a_router_does_not_grow_with_the_fleet():
-    def busiest(count, places):
+    def busiest(count, data_centres):
         async def scenario(fleet):
             fleet.sent.clear()
             fleet.sent_bytes.clear()
@@ -72,7 +74,7 @@
             ]
             return max(leaves), max(fleet.sent_bytes.values()) / 4
 
-        return run_scenario(scenario, count, places)
+        return run_scenario(scenario, count, data_centres)
 
     leaf, most_bytes = busiest(67, 4)
     large_leaf, large_most_bytes = busiest(195, 5)
@@ -93,8 +95,8 @@
     assert run_scenario(scenario, seed=seed, loss=0.03) == (True, True)
 
 
-@pytest.mark.parametrize(("count", "places"), [(9, 3), (67, 4), (195, 5)])
-def test_a_killed_leader_is_replaced_within_a_second(count, places):
+@pytest.mark.parametrize(("count", "data_centres"), [(9, 3), (67, 4), (195, 5)])
+def test_a_killed_leader_is_replaced_within_a_second(count, data_centres):
     async def scenario(fleet):
         lost = leader(fleet)
         fleet.kill(lost)
@@ -104,7 +106,7 @@
 
         return await fleet.until(replaced, 1.0) is not None
 
-    assert run_scenario(scenario, count, places)
+    assert run_scenario(scenario, count, data_centres)
 
 
 def test_a_router_asked_in_place_of_the_leader_confirms_its_failure_early():
@@ -250,8 +252,8 @@
     assert run_scenario(scenario, 1, 1) == 1
 
 
-@pytest.mark.parametrize(("count", "places"), [(9, 3), (67, 4)])
-def test_a_lagging_router_does_not_lead(count, places):
+@pytest.mark.parametrize(("count", "data_centres"), [(9, 3), (67, 4)])
+def test_a_lagging_router_does_not_lead(count, data_centres):
     async def scenario(fleet):
         late = leader(fleet)
         router = fleet.routers[late]
@@ -270,7 +272,7 @@
         again = await fleet.until(lambda: agreed(fleet) and leader(fleet) == late, 1.0)
         return soon is not None, still_replaced, again is not None
 
-    assert run_scenario(scenario, count, places) == (True, True, True)
+    assert run_scenario(scenario, count, data_centres) == (True, True, True)
 
 
 def test_routers_lead_as_usual_if_all_of_them_lag():
