--- a/carawayfold/state/__init__.py
+++ b/carawayfold/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a router keeps in memory."""
+"""In-memory state of a router."""
--- a/carawayfold/state/budget.py
+++ b/carawayfold/state/budget.py
@@ -1,4 +1,4 @@
-"""How many requests may be sent to a further endpoint."""
+"""Retry budget: bounds how many requests are sent to a further endpoint."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import ServiceId
 
-#: Part of the fleet's budget that is used, since requests and repeats at the edges
-#: of a window are counted by others' clocks.
-USED_PART = 0.8
-#: Part of what its requests earn that a router uses in the first window of its process:
-#: what its predecessor may have left of the users' bound in that window.
-LEFT_PART = 1 - USED_PART
+#: Fraction of the fleet's budget that is used. The rest covers requests and retries
+#: at the edges of a window, which other clocks count into another window.
+USABLE_FRACTION = 0.8
+#: Fraction of the budget earned by its requests that a router uses in the first window
+#: after its start. Its predecessor may have used the rest in the same window.
+FIRST_WINDOW_FRACTION = 1 - USABLE_FRACTION
 
 
 class BudgetBounds(msgspec.Struct, frozen=True):
-    """The fleet's bounds on repeats to a service.
+    """Bounds on the retries that the whole fleet sends to one service.
 
     Attributes
     ----------
     ratio : float
-        Repeats per request.
+        Retries allowed per request.
     extra : float
-        Repeats allowed besides, in each window, by the whole fleet.
+        Retries allowed in each window in addition to `ratio`.
     window : float
-        Seconds.
+        Length of the sliding window in seconds.
     """
 
     ratio: float = 0.2
@@ -38,14 +38,14 @@
 
 
 class BudgetWindow(msgspec.Struct, frozen=True):
-    """What one router's window holds for a service.
+    """Counts and limit of one service in the current window of one router.
 
     Attributes
     ----------
     requests, repeats : int
-        Counted within it.
+        Requests and retries counted within the window.
     allowed : float
-        Repeats that this router may have in it.
+        Retries that this router may send within the window.
     """
 
     requests: int
@@ -54,27 +54,27 @@
 
 
 class ServiceBudget(msgspec.Struct):
-    """Requests and repeats of one service within the window."""
+    """Requests and retries of one service within the window."""
 
     requests: WindowSum = msgspec.field(default_factory=WindowSum)
     repeats: WindowSum = msgspec.field(default_factory=WindowSum)
 
 
 class RetryBudget:
-    """The part of the fleet's budget that one router may use.
+    """The share of the fleet's retry budget that one router may use.
 
-    Each router uses only what its own requests earn and an equal part of the extra,
-    so that the parts never add up to more than the whole, also when routers don't
-    hear each other.
+    Each router uses only the retries earned by its own requests and an equal share of
+    `BudgetBounds.extra`. The shares therefore never exceed the fleet's budget, even
+    when routers cannot exchange messages.
 
     Parameters
     ----------
     bounds : BudgetBounds
-        The whole.
+        Bounds of the whole fleet.
     started : float
-        Monotonic seconds at which this process started. What its predecessor repeated
-        is not known, so until a window later it has no part of the extra, and little of
-        what its requests earn.
+        Monotonic seconds at which this process started. The retries of its predecessor
+        are not known, so for one window the router has no share of the extra retries
+        and uses only `FIRST_WINDOW_FRACTION` of the retries that its requests earn.
     """
 
     def __init__(self, bounds: BudgetBounds, started: float) -> None:
@@ -83,51 +83,52 @@
         self.services: dict[ServiceId, ServiceBudget] = {}
 
     def request(self, service: ServiceId, now: float) -> None:
-        """Note a request of a caller."""
-        self._of(service).requests.add(now, 1)
+        """Count a request of a caller."""
+        self._budget_of(service).requests.add(now, 1)
 
     def window(
         self, service: ServiceId, routers: int | None, now: float
     ) -> BudgetWindow:
-        """Return what the window holds and allows now.
+        """Return the counts and the limit of the current window.
 
         Parameters
         ----------
         service : ServiceId
-            Where repeats would go.
+            Service to which retries would be sent.
         routers : int or None
-            Routers of the fleet, silent ones included; None while that is not known.
+            Number of routers in the fleet, unreachable ones included; None while it
+            is not known.
         now : float
             Monotonic seconds.
         """
-        budget = self._of(service)
+        budget = self._budget_of(service)
         budget.requests.expire(now - self.bounds.window)
         budget.repeats.expire(now - self.bounds.window)
         earned = self.bounds.ratio * budget.requests.total
-        if self._is_new(now):
-            allowed = LEFT_PART * earned
+        if self._is_in_first_window(now):
+            allowed = FIRST_WINDOW_FRACTION * earned
         else:
-            allowed = USED_PART * (earned + self.part_of_extra(routers, now))
+            allowed = USABLE_FRACTION * (earned + self.part_of_extra(routers, now))
         requests, repeats = round(budget.requests.total), round(budget.repeats.total)
         return BudgetWindow(requests, repeats, allowed)
 
     def take(self, service: ServiceId, routers: int | None, now: float) -> bool:
-        """Return whether one more repeat is allowed, and count it if so."""
+        """Return whether one more retry is allowed, and count it if so."""
         window = self.window(service, routers, now)
         if window.repeats + 1 > window.allowed:
             return False
-        self._of(service).repeats.add(now, 1)
+        self._budget_of(service).repeats.add(now, 1)
         return True
 
     def part_of_extra(self, routers: int | None, now: float) -> float:
-        """Return this router's part of the repeats that the fleet has besides."""
-        if routers is None or self._is_new(now):
+        """Return this router's share of the extra retries of the fleet."""
+        if routers is None or self._is_in_first_window(now):
             return 0.0
         return self.bounds.extra / max(1, routers)
 
-    def _is_new(self, now: float) -> bool:
-        """Return whether a predecessor's repeats may still count."""
+    def _is_in_first_window(self, now: float) -> bool:
+        """Return whether retries of this router's predecessor may still count."""
         return now - self.started < self.bounds.window
 
-    def _of(self, service: ServiceId) -> ServiceBudget:
+    def _budget_of(self, service: ServiceId) -> ServiceBudget:
         return self.services.setdefault(service, ServiceBudget())
--- a/carawayfold/state/crashes.py
+++ b/carawayfold/state/crashes.py
@@ -1,7 +1,8 @@
-"""Which endpoints ended under which contents, as the routers report it.
+"""Crashes of endpoints, by the contents in flight there as routers report them.
 
-The load it answers: an endpoint that ends takes all its requests with it, so each of
-them may be the cause. A harmful content is there each time; its companions change.
+All requests in flight at an endpoint fail when it crashes, so each of them may be the
+cause. A harmful content is in flight at each of these crashes, while the other contents
+differ from crash to crash.
 """
 
 from __future__ import annotations
@@ -18,57 +19,61 @@
 if TYPE_CHECKING:
     from carawayfold.state.endpoints import Endpoint
 
-#: Seconds for which a crash counts against a content that was there.
-CRASH_COUNTS_FOR = 900.0
-#: What a crash weighs against a content whose answer had begun by then. In all five
-#: traced crashes the harmful content was the one without a first event, and four of
-#: five companions had one; one that ends its endpoint later needs twice the crashes.
-BEGUN_WEIGHT = 0.5
-#: Endpoints that ended under a content after which it is watched: the router sends it
-#: once a call, and a run that ends well clears it.
+#: Seconds for which a crash counts against the contents in flight.
+CRASH_RETENTION_DURATION = 900.0
+#: Weight of a crash against a content whose answer had begun, where others weigh 1. In
+#: five traced crashes the harmful content never had a first event, and four of five
+#: other contents had one. A content that crashes endpoints later in its run therefore
+#: needs twice as many crashes.
+ANSWER_BEGUN_WEIGHT = 0.5
+#: Least number of crashes at which a content is suspected. It is then sent once per
+#: call, without retries, and a run that completes clears it.
 SUSPECTED_AT = 2
-#: Weight of the crashes at which a content was there, from which on it is refused:
-#: three at which its run had just begun. Less would refuse requests that were there
-#: twice by chance, more would cost further endpoints.
+#: Least weight of the crashes at which a content is quarantined: three at which its
+#: answer had not begun. A lower value would reject contents that were in flight twice
+#: by coincidence, a higher one would cost further endpoints.
 QUARANTINED_AT = 3.0
-#: The same for a content that ran well not long before. Three endpoints that end by
-#: chance within a few seconds have nearly all that callers ask again and again in them.
-RESTED_AT = 5.0
-#: Contents counted at once, and those of one organisation: a crash leaves as many as an
-#: endpoint has slots, 64 on today's engines.
-CASES_MOST = 4000
-CASES_OF_ORGANISATION = 400
-#: Seconds within which two reports on one endpoint are on the same crash. Endpoints
-#: that keep their name when they start again end under it a second time.
-SAME_CRASH = 0.5
-#: Seconds by which what was sent after an end may seem to have been sent before it.
-SENT_SLACK = 0.05
-#: Endpoints that have left of which it is remembered how.
-DEPARTURES_KEPT = 2000
-#: Seconds after a lost connection within which the registration of an endpoint that
-#: has ended goes: three heartbeats of the slowest known, and the way of the news. One
-#: that goes later was taken away for another reason.
-DEPARTURE_MOST = 10.0
-#: Seconds by which the news that an endpoint is gone may come before the word of a
-#: connection that ended with it.
-DEPARTURE_SLACK = 0.5
+#: Least weight for a content that completed a run shortly before. Three endpoints that
+#: crash independently within a few seconds have nearly all popular contents in flight.
+MIN_REST_WEIGHT = 5.0
+#: Most contents with recorded crashes, in all and of one organisation. One crash adds
+#: up to as many as an endpoint has slots, 64 on present engines.
+MAX_CASES = 4000
+MAX_CASES_PER_ORGANISATION = 400
+#: Seconds within which two reports on one endpoint are of the same crash. An endpoint
+#: that keeps its name after a restart may crash again under it.
+SAME_CRASH_DURATION = 0.5
+#: Seconds by which a request sent after a crash may appear to be sent before it.
+SEND_TIME_TOLERANCE = 0.05
+#: Most deregistered endpoints that are remembered.
+MAX_DEREGISTRATIONS = 2000
+#: Seconds after a lost connection within which a crashed endpoint is deregistered:
+#: three heartbeats at the longest interval in use, and the time to propagate the
+#: change. A later deregistration has another cause.
+MAX_DEREGISTRATION_DELAY = 10.0
+#: Seconds by which a deregistration may be received before the report of a connection
+#: lost in the same crash.
+DEREGISTRATION_TOLERANCE = 0.5
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """An endpoint that seems to have ended while it had a content.
+    """A possible crash of an endpoint while it ran a content.
 
     Attributes
     ----------
+    endpoint : EndpointId
+        The endpoint.
     router : RouterId
-        Which router lost its connection.
+        Router that lost its connection.
     at : float
-        Monotonic seconds of the last sign of life.
+        Monotonic seconds at which data was last received from the endpoint.
     refused : bool
-        Whether the endpoint took no new connection right after.
+        Whether the endpoint refused a new connection immediately afterwards.
     begun : bool
-        Whether the answer to the content had begun by then.
+        Whether the answer to the content had begun.
     started : float
-        Monotonic seconds at which the content was sent there, as far as that is known.
+        Monotonic seconds at which the content was sent to the endpoint; negative
+        infinity if not known.
     """
 
     endpoint: EndpointId
@@ -80,27 +85,33 @@
 
     @property
     def weight(self) -> float:
-        """Return what it tells against the content, 1 for a run that just began."""
-        return BEGUN_WEIGHT if self.begun else 1.0
+        """Return the weight against the content, 1 if its answer had not begun."""
+        return ANSWER_BEGUN_WEIGHT if self.begun else 1.0
 
     def is_same(self, other: Crash) -> bool:
-        """Return whether two reports on one endpoint are on the same end of it.
+        """Return whether two reports on one endpoint are of the same crash.
 
-        What was sent there after the other end met the endpoint's next run.
+        A request sent after the other crash was run by the restarted endpoint.
         """
-        if abs(self.at - other.at) >= SAME_CRASH:
+        if abs(self.at - other.at) >= SAME_CRASH_DURATION:
             return False
         sent_last = max(self.started, other.started)
-        return sent_last <= min(self.at, other.at) + SENT_SLACK
+        return sent_last <= min(self.at, other.at) + SEND_TIME_TOLERANCE
 
 
 class Case(msgspec.Struct):
-    """The crashes at which one content was there, by endpoint.
+    """The crashes at which one content was in flight.
 
     Attributes
     ----------
+    organisation : OrganisationId
+        Organisation whose requests have the content.
     ran_well_at : float
-        Monotonic seconds at which it last ran well, as far as that is known.
+        Monotonic seconds of the last known run that completed; negative infinity if
+        there is none.
+    crashes : dict
+        Crashes by endpoint. Further crashes of one endpoint have ``#2``, ``#3`` and so
+        on after its name.
     judged : dict
         Weights of the crashes at the last verdict.
     """
@@ -111,7 +122,7 @@
     judged: dict[EndpointId, float] = msgspec.field(default_factory=dict)
 
     def find(self, crash: Crash) -> tuple[EndpointId, Crash | None]:
-        """Return what a crash is kept under, and what is known of it."""
+        """Return the key of a crash in `crashes`, and its recorded report if any."""
         name, count = crash.endpoint, 1
         while name in self.crashes:
             known = self.crashes[name]
@@ -122,59 +133,71 @@
         return name, None
 
     def is_companion(self, now: float) -> bool:
-        """Return whether it looks like one that was there by chance.
+        """Return whether the content was probably in flight by coincidence.
 
-        It ran well not long before, or its answer had begun at some crash, neither of
-        which the harmful contents that were traced ever did.
+        It completed a run shortly before, or its answer had begun at one of the
+        crashes. Neither was the case for any harmful content that was traced.
         """
         if now - self.ran_well_at < SPEAKS_FOR:
             return True
         return any(crash.begun for crash in self.crashes.values())
 
 
-class Departure(msgspec.Struct, frozen=True):
-    """When an endpoint was last registered, and whether it had said that it leaves."""
+class Deregistration(msgspec.Struct, frozen=True):
+    """When an endpoint was deregistered, and whether it had announced its stop."""
 
     at: float
     announced: bool
 
 
 class Departures:
-    """How endpoints left, to tell one that ended from one that was taken away."""
+    """Deregistrations, to distinguish a crashed endpoint from a stopped one."""
 
     def __init__(self) -> None:
-        self.known: OrderedDict[EndpointId, Departure] = OrderedDict()
+        self.entries: OrderedDict[EndpointId, Deregistration] = OrderedDict()
 
     def note(self, endpoint: Endpoint, now: float) -> None:
-        """Note that an endpoint is no longer registered."""
-        self.known[endpoint.id] = Departure(now, endpoint.leaving)
-        if len(self.known) > DEPARTURES_KEPT:
-            self.known.popitem(last=False)
+        """Record that an endpoint is no longer registered."""
+        self.entries[endpoint.id] = Deregistration(now, endpoint.leaving)
+        if len(self.entries) > MAX_DEREGISTRATIONS:
+            self.entries.popitem(last=False)
 
     def has_ended(self, crash: Crash, registered: Endpoint | None) -> bool:
-        """Return whether an endpoint ended by itself.
+        """Return whether a lost connection was caused by a crash of the endpoint.
 
-        One that announces it, or whose registration goes before its connections do, is
-        taken away as planned. One that neither refuses connections nor loses its
-        registration still lives: its connection alone broke.
+        An endpoint that announced its stop, or was deregistered before its connections
+        were lost, was stopped on purpose. One that neither refuses connections nor is
+        deregistered still runs; only its connection failed.
 
         Parameters
         ----------
+        crash : Crash
+            Report of the lost connection.
         registered : Endpoint or None
-            Its registration, if it still stands.
+            The endpoint's registration, None if it has none.
         """
         if registered is not None:
             return crash.refused and not registered.leaving
-        departure = self.known.get(crash.endpoint)
-        if departure is None:
+        deregistration = self.entries.get(crash.endpoint)
+        if deregistration is None:
             return crash.refused
-        after = departure.at - crash.at
-        timely = -DEPARTURE_SLACK <= after <= DEPARTURE_MOST
-        return not departure.announced and (timely or (crash.refused and after > 0))
+        after = deregistration.at - crash.at
+        in_time = -DEREGISTRATION_TOLERANCE <= after <= MAX_DEREGISTRATION_DELAY
+        return not deregistration.announced and (
+            in_time or (crash.refused and after > 0)
+        )
 
 
 class CrashBook:
-    """All cases that one router looks after."""
+    """The crashes recorded by one router, by content.
+
+    Attributes
+    ----------
+    cases : OrderedDict
+        Cases by content, the most recently changed one last.
+    organisations : Counter
+        Number of cases by organisation.
+    """
 
     def __init__(self) -> None:
         self.cases: OrderedDict[ContentId, Case] = OrderedDict()
@@ -183,13 +206,13 @@
     def note(
         self, content: ContentId, organisation: OrganisationId, crash: Crash
     ) -> bool:
-        """Count a crash against a content; return whether that is news."""
+        """Count a crash against a content; return whether that changed its case."""
         case = self.cases.get(content)
         if case is None:
-            case = self._open(content, organisation)
+            case = self._add_case(content, organisation)
         name, known = case.find(crash)
         if known is not None:
-            # Of several copies at one endpoint each may be the cause.
+            # Any of several requests with the content at one endpoint may be the cause.
             refused = known.refused or crash.refused
             begun = known.begun and crash.begun
             if (refused, begun) == (known.refused, known.begun):
@@ -202,40 +225,57 @@
     def note_well(
         self, content: ContentId, organisation: OrganisationId, at: float
     ) -> None:
-        """Forget the crashes before a run that ended well: they were by chance."""
-        case = self.cases.get(content) or self._open(content, organisation)
+        """Record a run that completed, and drop the crashes up to it.
+
+        The content was in flight at these by coincidence.
+
+        Parameters
+        ----------
+        content : ContentId
+            Content of the run.
+        organisation : OrganisationId
+            Organisation whose request it was.
+        at : float
+            Monotonic seconds of the run.
+        """
+        case = self.cases.get(content) or self._add_case(content, organisation)
         case.ran_well_at = max(case.ran_well_at, at)
         for endpoint, crash in list(case.crashes.items()):
             if crash.at <= at:
                 del case.crashes[endpoint]
 
     def clear(self, content: ContentId) -> None:
-        """Forget all that counts against a content."""
+        """Drop the case of a content."""
         case = self.cases.pop(content, None)
         if case is not None:
-            self._uncount(case.organisation)
+            self._decrement(case.organisation)
 
     def expire(self, now: float) -> None:
-        """Forget crashes that lie too far back."""
+        """Drop crashes older than `CRASH_RETENTION_DURATION`, and empty cases."""
         for content, case in list(self.cases.items()):
             for endpoint, crash in list(case.crashes.items()):
-                if now - crash.at > CRASH_COUNTS_FOR:
+                if now - crash.at > CRASH_RETENTION_DURATION:
                     del case.crashes[endpoint]
             if not case.crashes and now - case.ran_well_at > SPEAKS_FOR:
                 self.clear(content)
 
-    def _open(self, content: ContentId, organisation: OrganisationId) -> Case:
+    def _add_case(self, content: ContentId, organisation: OrganisationId) -> Case:
         case = self.cases[content] = Case(organisation)
         self.organisations[organisation] += 1
-        if self.organisations[organisation] > CASES_OF_ORGANISATION:
-            self.clear(self._weakest(organisation, content))
-        elif len(self.cases) > CASES_MOST:
+        if self.organisations[organisation] > MAX_CASES_PER_ORGANISATION:
+            self.clear(self._least_incriminated(organisation, content))
+        elif len(self.cases) > MAX_CASES:
             most = self.organisations.most_common(1)[0][0]
-            self.clear(self._weakest(most, content))
+            self.clear(self._least_incriminated(most, content))
         return case
 
-    def _weakest(self, organisation: OrganisationId, kept: ContentId) -> ContentId:
-        """Return the case of an organisation with fewest crashes, the oldest."""
+    def _least_incriminated(
+        self, organisation: OrganisationId, kept: ContentId
+    ) -> ContentId:
+        """Return the content of an organisation with fewest crashes, oldest first.
+
+        The content `kept` is excluded.
+        """
         mine = [
             content
             for content, case in self.cases.items()
@@ -243,15 +283,23 @@
         ]
         return min(mine, key=lambda content: len(self.cases[content].crashes))
 
-    def _uncount(self, organisation: OrganisationId) -> None:
+    def _decrement(self, organisation: OrganisationId) -> None:
         self.organisations[organisation] -= 1
         if not self.organisations[organisation]:
             del self.organisations[organisation]
 
 
 def level_for(weights: list[float], ran_well: bool) -> Level:
-    """Return what the crashes at which a content was there tell of it."""
-    if ran_well and sum(weights) >= RESTED_AT:
+    """Return the verdict on a content.
+
+    Parameters
+    ----------
+    weights : list of float
+        Weights of the crashes at which the content was in flight.
+    ran_well : bool
+        Whether it completed a run shortly before.
+    """
+    if ran_well and sum(weights) >= MIN_REST_WEIGHT:
         return Level.RESTED
     if not ran_well and sum(weights) >= QUARANTINED_AT:
         return Level.QUARANTINED
--- a/carawayfold/state/quarantine.py
+++ b/carawayfold/state/quarantine.py
@@ -1,9 +1,9 @@
-"""Contents under which endpoints ended, and which are therefore kept from the others.
+"""Quarantine of request contents that crash endpoints.
 
-The load it answers: a caller asks again and again for something that ends each endpoint
-that runs it, under other identifiers and at any router. Without a memory of contents
-the fleet loses one endpoint after the other, with the requests of all other callers
-there.
+It guards against a caller that retries a request which crashes each endpoint that runs
+it, with another identifier each time and through any router. If contents were not
+remembered, the fleet would lose one endpoint after the other, together with the
+requests of other callers in flight there.
 """
 
 from __future__ import annotations
@@ -20,30 +20,38 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds for which a content is refused. Long enough that a caller who asks without
-#: a pause ends four endpoints an hour at most, short enough that a mended endpoint is
-#: tried on the same day without an operator.
-HELD_FOR = 900.0
-#: The same for a content that ran well not long before: it may have been there by
-#: chance, and one run will tell.
-HELD_BRIEFLY = 10.0
-#: Seconds after that, or after the last crash, for which a content is still known; the
-#: first endpoint that ends under it meanwhile has it refused again.
+#: Seconds for which a quarantined content is rejected. A caller that retries without
+#: pause crashes at most four endpoints an hour, and a repaired endpoint is tried again
+#: on the same day without an operator.
+QUARANTINE_DURATION = 900.0
+#: Seconds for which a rested content is rejected. It completed a run shortly before, so
+#: it may have been in flight by coincidence; one more run decides.
+REST_DURATION = 10.0
+#: Seconds for which a content is remembered after its rejection ends, or after its last
+#: crash. One more crash within that time has it rejected again.
 REMEMBERED_FOR = 900.0
-#: Contents remembered in all: 0.6 MB at most on the smallest instance, which has 128.
-ENTRIES_MOST = 1000
-#: Contents remembered of one organisation, so that one which sends thousands of
-#: different harmful ones pushes nobody else's out.
-ENTRIES_OF_ORGANISATION = 50
+#: Most contents remembered: 0.6 MB of the 128 MB of the smallest instance.
+MAX_ENTRIES = 1000
+#: Most contents remembered of one organisation, so that one which sends thousands of
+#: different harmful contents does not evict those of others.
+MAX_ENTRIES_PER_ORGANISATION = 50
 
 
 class Level(Enum):
-    """What the fleet thinks of a content.
+    """Verdict of the fleet on a content.
 
-    One that is rested is refused for a short while although it ran well not long
-    before; one that is quarantined never did, as far as is known. One that is cleared
-    has run well since; one that is lifted is allowed by an operator's word, which says
-    nothing of how it will run.
+    Attributes
+    ----------
+    CLEARED
+        It has completed a run since the last crash.
+    LIFTED
+        An operator has allowed it, whether or not it is harmful.
+    SUSPECTED
+        Endpoints crashed while they ran it, but too few to reject it.
+    RESTED
+        Rejected for a short time, as it completed a run shortly before the crashes.
+    QUARANTINED
+        Rejected for a longer time, as no completed run of it is known.
     """
 
     CLEARED = "cleared"
@@ -54,12 +62,12 @@
 
     @property
     def is_clear(self) -> bool:
-        """Return whether nothing counts against a content."""
+        """Return whether a content is neither rejected nor suspected."""
         return self in (Level.CLEARED, Level.LIFTED)
 
 
-#: Levels at which a content is refused, and for how many seconds.
-REFUSED_FOR = {Level.RESTED: HELD_BRIEFLY, Level.QUARANTINED: HELD_FOR}
+#: Seconds of rejection for each level at which a content is rejected.
+REFUSED_FOR = {Level.RESTED: REST_DURATION, Level.QUARANTINED: QUARANTINE_DURATION}
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -67,17 +75,23 @@
 
     Attributes
     ----------
+    content : ContentId
+        Digest of the content.
+    organisation : OrganisationId
+        Organisation whose requests have the content.
+    level : Level
+        The verdict.
     stamp : int
-        Unix milliseconds of the verdict; the newest one holds.
+        Unix milliseconds of the verdict; the newest one applies.
     held_until : float
-        Monotonic seconds until which the content is refused.
+        Monotonic seconds until which the content is rejected.
     forget_at : float
-        Monotonic seconds from which nothing is remembered of it.
+        Monotonic seconds at which the entry expires.
     since : float
-        Monotonic seconds of the first crash that counts; a run that ends well later
-        speaks for the content.
+        Monotonic seconds of the first crash that counts. A run that completes later is
+        evidence that the content is harmless.
     endpoints : tuple of EndpointId
-        Those that ended under it.
+        Endpoints that crashed while they ran it.
     """
 
     content: ContentId
@@ -91,16 +105,17 @@
 
 
 class Quarantine:
-    """What one router knows of the fleet's verdicts.
+    """The verdicts of the fleet that one router knows.
 
     Attributes
     ----------
     entries : dict
         Newest verdict by content, those that clear it included.
     organisations : Counter
-        Verdicts by organisation, so that requests of all others need no digest.
+        Number of verdicts by organisation, so that no digest is computed for requests
+        of organisations without any.
     checksum : int
-        Equal where the same is known, 0 for nothing.
+        Equal on routers with the same verdicts; 0 without any.
     """
 
     def __init__(self) -> None:
@@ -109,15 +124,15 @@
         self.checksum = 0
 
     def put(self, entry: Entry) -> bool:
-        """Take a verdict; return whether it is news."""
+        """Store a verdict if it is newer; return whether it was stored."""
         known = self.entries.get(entry.content)
         if known is not None and known.stamp >= entry.stamp:
             return False
         self._drop(entry.content)
         self.entries[entry.content] = entry
         self.organisations[entry.organisation] += 1
-        self._bound(entry.organisation)
-        self._settle()
+        self._enforce_limits(entry.organisation)
+        self._update_checksum()
         return entry.content in self.entries
 
     def get(self, content: ContentId) -> Entry | None:
@@ -125,23 +140,23 @@
         return self.entries.get(content)
 
     def concerns(self, organisation: OrganisationId) -> bool:
-        """Return whether any content of an organisation is known."""
+        """Return whether there is a verdict on any content of an organisation."""
         return organisation in self.organisations
 
     def held_for(self, content: ContentId, now: float) -> float:
-        """Return the seconds for which a content is still refused, 0 if it is not."""
+        """Return the remaining seconds of a content's rejection, 0 if there is none."""
         entry = self.entries.get(content)
         if entry is None or entry.level not in REFUSED_FOR:
             return 0.0
         return max(0.0, entry.held_until - now)
 
     def is_suspected(self, content: ContentId) -> bool:
-        """Return whether endpoints ended under it, and it has not run well since."""
+        """Return whether a content crashed endpoints and has not been cleared since."""
         entry = self.entries.get(content)
         return entry is not None and not entry.level.is_clear
 
     def held(self, now: float) -> list[Entry]:
-        """Return the contents that are refused now."""
+        """Return the verdicts on contents that are rejected now."""
         return [
             entry
             for entry in self.entries.values()
@@ -149,9 +164,9 @@
         ]
 
     def suspected(self, now: float) -> list[Entry]:
-        """Return the contents that something counts against and that are not refused.
+        """Return the verdicts on contents that are suspected but not rejected now.
 
-        One more crash has them refused, or refused again.
+        These contents are rejected, or rejected again, after one more crash.
         """
         return [
             entry
@@ -160,29 +175,31 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Forget what lies too far back."""
-        over = [name for name, entry in self.entries.items() if entry.forget_at <= now]
-        for name in over:
-            self._drop(name)
-        if over:
-            self._settle()
-
-    def _settle(self) -> None:
+        """Drop expired verdicts."""
+        expired = [
+            content for content, entry in self.entries.items() if entry.forget_at <= now
+        ]
+        for content in expired:
+            self._drop(content)
+        if expired:
+            self._update_checksum()
+
+    def _update_checksum(self) -> None:
         rows = sorted(f"{item.content}|{item.stamp}" for item in self.entries.values())
-        # 31 bits: a heartbeat holds it in five bytes.
+        # 31 bits fit into five bytes of a heartbeat.
         digest = xxhash.xxh3_64_intdigest("\n".join(rows).encode()) >> 33
         self.checksum = (digest or 1) if rows else 0
 
-    def _bound(self, organisation: OrganisationId) -> None:
-        """Keep within the bounds, at the cost of whoever has most."""
-        if self.organisations[organisation] > ENTRIES_OF_ORGANISATION:
-            self._drop_least(organisation)
-        if len(self.entries) > ENTRIES_MOST:
-            self._drop_least(self.organisations.most_common(1)[0][0])
+    def _enforce_limits(self, organisation: OrganisationId) -> None:
+        """Enforce the limits at the expense of the organisation with most verdicts."""
+        if self.organisations[organisation] > MAX_ENTRIES_PER_ORGANISATION:
+            self._drop_least_important(organisation)
+        if len(self.entries) > MAX_ENTRIES:
+            self._drop_least_important(self.organisations.most_common(1)[0][0])
 
-    def _drop_least(self, organisation: OrganisationId) -> None:
+    def _drop_least_important(self, organisation: OrganisationId) -> None:
         mine = [x for x in self.entries.values() if x.organisation == organisation]
-        self._drop(least(mine).content)
+        self._drop(least_important(mine).content)
 
     def _drop(self, content: ContentId) -> None:
         entry = self.entries.pop(content, None)
@@ -193,8 +210,8 @@
             del self.organisations[entry.organisation]
 
 
-def least(entries: Iterable[Entry]) -> Entry:
-    """Return the verdict that matters least: one that refuses nothing, the oldest."""
+def least_important(entries: Iterable[Entry]) -> Entry:
+    """Return the oldest verdict, of those that reject nothing if there are any."""
     return min(
         entries,
         key=lambda entry: (entry.level in REFUSED_FOR, entry.stamp),
--- a/carawayfold/state/usage.py
+++ b/carawayfold/state/usage.py
@@ -1,4 +1,4 @@
-"""What each organisation asked for and was granted in a sliding window."""
+"""Tokens requested by and granted to each organisation in a sliding window."""
 
 from __future__ import annotations
 
@@ -13,61 +13,62 @@
 
     from carawayfold.state.ids import OrganisationId
 
-#: Times what is granted that organisations may ask for together before part of it is
-#: held back: enough to choose from.
+#: Tokens that all organisations together may offer, as a multiple of the tokens
+#: granted, before routers hold requests back. Leaves the leader enough to choose from.
 HEADROOM = 2.0
-#: Least part of its requests that an organisation may offer: who is told nothing more
-#: could not be told that there is room again.
+#: Least fraction of its requests that an organisation may offer. A router learns a
+#: higher fraction from the replies to its offers, so it must never stop offering.
 LEAST_ADMITTED = 0.02
-#: Part of what the best served organisation got, below which one is behind; half
-#: would be the least that users accept, and the window lags.
+#: Fraction of the tokens of the best served organisation below which another one is
+#: underserved. Users accept one half at least; the margin covers the lag of the window.
 BEHIND = 0.7
 
 
 def max_min_level(demands: Iterable[float], capacity: float) -> float:
-    """Return the largest share that everybody may take of `capacity`.
+    """Return the max-min fair share of `capacity`.
 
     Parameters
     ----------
     demands : iterable of float
-        What each one asks for.
+        Demand of each participant.
     capacity : float
-        What there is, in the same unit.
+        Capacity to divide, in the unit of `demands`.
 
     Returns
     -------
     float
-        Those who ask for less get what they ask; infinite if all do.
+        Most that any participant gets. Participants that demand less get their
+        demand; infinite if all demands fit.
     """
-    left = capacity
+    remaining = capacity
     ordered = sorted(demands)
     for place, demand in enumerate(ordered):
-        level = left / (len(ordered) - place)
+        level = remaining / (len(ordered) - place)
         if demand > level:
             return level
-        left -= demand
+        remaining -= demand
     return float("inf")
 
 
 class WindowSum(msgspec.Struct):
-    """Sum of the amounts noted within a window."""
+    """Sum of the amounts added within a window."""
 
     total: float = 0.0
     entries: deque[tuple[float, float]] = msgspec.field(default_factory=deque)
 
     def add(self, now: float, amount: float) -> None:
-        """Note an amount."""
+        """Add an amount at time `now`, in monotonic seconds."""
         self.entries.append((now, amount))
         self.total += amount
 
     def expire(self, before: float) -> None:
-        """Forget what was noted before a time."""
+        """Drop amounts added before a time, in monotonic seconds."""
         while self.entries and self.entries[0][0] < before:
             self.total -= self.entries.popleft()[1]
 
 
 class OrganisationUsage(msgspec.Struct):
-    """Tokens that one organisation asked for and was granted."""
+    """Tokens requested by and granted to one organisation within the window."""
 
     asked: WindowSum = msgspec.field(default_factory=WindowSum)
     granted: WindowSum = msgspec.field(default_factory=WindowSum)
@@ -79,75 +80,85 @@
     Parameters
     ----------
     window : float
-        Seconds.
+        Length of the sliding window in seconds.
     """
 
     def __init__(self, window: float) -> None:
         self.window = window
         self.book: dict[OrganisationId, OrganisationUsage] = {}
-        self.level = float("inf")
-        #: Tokens in the window that an organisation may ask for before a part of it
-        #: is held back.
-        self.admitted = float("inf")
-        self.most_granted = 0.0
+        #: Max-min fair share in tokens per window, from the throughput.
+        self.share_level = float("inf")
+        #: Tokens per window that an organisation may offer before routers hold part
+        #: of its requests back.
+        self.offer_limit = float("inf")
+        #: Tokens granted within the window to the best served organisation.
+        self.max_granted = 0.0
 
     def asked(self, organisation: OrganisationId, now: float, tokens: float) -> None:
-        """Note a request."""
-        self._of(organisation).asked.add(now, tokens)
+        """Record the tokens of a request."""
+        self._usage_of(organisation).asked.add(now, tokens)
 
     def granted(self, organisation: OrganisationId, now: float, tokens: float) -> None:
-        """Note that a request goes to an endpoint."""
-        self._of(organisation).granted.add(now, tokens)
+        """Record the tokens of a request that is sent to an endpoint."""
+        self._usage_of(organisation).granted.add(now, tokens)
 
     def refresh(self, now: float, throughput: float) -> None:
-        """Work out each one's share of `throughput` tokens a second anew."""
+        """Recompute the fair shares of a throughput in tokens a second."""
         for organisation, usage in list(self.book.items()):
             usage.asked.expire(now - self.window)
             usage.granted.expire(now - self.window)
             if not usage.asked.entries and not usage.granted.entries:
                 del self.book[organisation]
-        self.most_granted = max(
+        self.max_granted = max(
             (usage.granted.total for usage in self.book.values()), default=0.0
         )
         demands = [usage.asked.total for usage in self.book.values()]
         capacity = throughput * self.window
-        self.level = max_min_level(demands, capacity) if throughput else float("inf")
+        self.share_level = (
+            max_min_level(demands, capacity) if throughput else float("inf")
+        )
         granted = sum(usage.granted.total for usage in self.book.values())
-        self.admitted = max_min_level(demands, HEADROOM * granted)
+        self.offer_limit = max_min_level(demands, HEADROOM * granted)
 
     def is_owed(self, organisation: OrganisationId, tokens: float) -> bool:
         """Return whether a request of `tokens` is within the organisation's share."""
-        return self._of(organisation).granted.total + tokens <= self.level
+        return self._usage_of(organisation).granted.total + tokens <= self.share_level
 
     def is_behind(self, organisation: OrganisationId) -> bool:
-        """Return whether an organisation has got far less than the best served one.
+        """Return whether an organisation got far less than the best served one.
 
-        What it did not ask for does not count. That holds beyond the shares too:
-        two floods get alike.
+        The comparison is limited to the tokens that it requested. It also applies
+        above the shares, so that two overloading organisations get equal amounts.
         """
-        usage = self._of(organisation)
-        due = min(usage.asked.total, self.most_granted)
+        usage = self._usage_of(organisation)
+        due = min(usage.asked.total, self.max_granted)
         return usage.granted.total < BEHIND * due
 
     def admitted_part(self, organisation: OrganisationId) -> float:
-        """Return the part of an organisation's requests to be offered, 0 to 1.
+        """Return the fraction of an organisation's requests to offer, 0 to 1.
 
-        All that may be offered is shared out as what is granted is: those who ask for
-        less than the common level offer all of it, and so do those who got far less
-        than others, whose requests may be such that few of them can be in time.
+        The tokens that may be offered are divided by max-min fairness, as grants are.
+        An organisation below the common limit offers all its requests. So does an
+        underserved one, as possibly few of its requests can meet their deadlines.
         """
-        asked = self._of(organisation).asked.total
-        if asked <= self.admitted or self.is_behind(organisation):
+        asked = self._usage_of(organisation).asked.total
+        if asked <= self.offer_limit or self.is_behind(organisation):
             return 1.0
-        return max(LEAST_ADMITTED, self.admitted / asked)
+        return max(LEAST_ADMITTED, self.offer_limit / asked)
 
     def most_asked(self, count: int) -> list[tuple[OrganisationId, float, float]]:
-        """Return who asked for most in the window, with tokens asked and granted."""
+        """Return the organisations with the highest demand in the window.
+
+        Returns
+        -------
+        list of tuple
+            Organisation, tokens requested and tokens granted, highest demand first.
+        """
         rows = [
             (organisation, usage.asked.total, usage.granted.total)
             for organisation, usage in self.book.items()
         ]
         return heapq.nlargest(count, rows, key=lambda row: row[1])
 
-    def _of(self, organisation: OrganisationId) -> OrganisationUsage:
+    def _usage_of(self, organisation: OrganisationId) -> OrganisationUsage:
         return self.book.setdefault(organisation, OrganisationUsage())
--- a/tests/state/test_crashes.py
+++ b/tests/state/test_crashes.py
@@ -7,9 +7,9 @@
 
 from carawayfold.state.contents import content_id
 from carawayfold.state.crashes import (
-    CASES_OF_ORGANISATION,
+    MAX_CASES_PER_ORGANISATION,
+    MIN_REST_WEIGHT,
     QUARANTINED_AT,
-    RESTED_AT,
     Crash,
     CrashBook,
     Departures,
@@ -116,7 +116,7 @@
 
 def test_what_ran_well_not_long_before_is_only_rested_and_later():
     assert level_for([1.0] * int(QUARANTINED_AT), ran_well=True) is Level.SUSPECTED
-    assert level_for([1.0] * int(RESTED_AT), ran_well=True) is Level.RESTED
+    assert level_for([1.0] * int(MIN_REST_WEIGHT), ran_well=True) is Level.RESTED
 
 
 def test_an_organisation_keeps_its_worst_cases_and_nobody_elses_go():
@@ -124,7 +124,7 @@
     book.note(content(-1), "birch", crash())
     for name in ("e-1", "e-2"):
         book.note(content(0), "alder", crash(name))
-    for number in range(1, 3 * CASES_OF_ORGANISATION):
+    for number in range(1, 3 * MAX_CASES_PER_ORGANISATION):
         book.note(content(number), "alder", crash())
-    assert book.organisations == {"birch": 1, "alder": CASES_OF_ORGANISATION}
+    assert book.organisations == {"birch": 1, "alder": MAX_CASES_PER_ORGANISATION}
     assert len(book.cases[content(0)].crashes) == 2
--- a/tests/state/test_quarantine.py
+++ b/tests/state/test_quarantine.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from carawayfold.state.quarantine import (
-    ENTRIES_MOST,
-    ENTRIES_OF_ORGANISATION,
+    MAX_ENTRIES,
+    MAX_ENTRIES_PER_ORGANISATION,
     Entry,
     Level,
     Quarantine,
@@ -83,10 +83,10 @@
 
 def test_the_bounds_hold_at_the_cost_of_whoever_has_most():
     made = known([entry("first", organisation="birch")])
-    for number in range(2 * ENTRIES_OF_ORGANISATION):
+    for number in range(2 * MAX_ENTRIES_PER_ORGANISATION):
         made.put(entry(f"a-{number}", stamp=number))
-    assert made.organisations["alder"] == ENTRIES_OF_ORGANISATION
-    for number in range(2 * ENTRIES_MOST):
+    assert made.organisations["alder"] == MAX_ENTRIES_PER_ORGANISATION
+    for number in range(2 * MAX_ENTRIES):
         made.put(entry(f"o-{number}", stamp=number, organisation=f"o-{number % 40}"))
-    assert len(made.entries) == ENTRIES_MOST
+    assert len(made.entries) == MAX_ENTRIES
     assert "first" in made.entries
