--- a/carawayfold/state/claims.py
+++ b/carawayfold/state/claims.py
@@ -1,7 +1,7 @@
-"""Claims of idempotency keys, as the platform's log orders them.
+"""Claims of idempotency keys, in the order of the platform's log.
 
-The first claim of a key on the log wins. A claim is given up only by a release of
-its owner, who then never sends the request.
+The first claim of a key on the log holds it. Only its owner can release a claim, and
+never sends the request after that.
 """
 
 from __future__ import annotations
@@ -15,12 +15,22 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-#: Bytes of the digest that stands for an organisation's key.
+#: Length in bytes of the digest of an organisation's key.
 DIGEST_SIZE = 16
 
 
 class ClaimEnd(Enum):
-    """How a claim ended, as its owner put it on the log."""
+    """How a claim ended, as its owner recorded it on the log.
+
+    Attributes
+    ----------
+    RAN
+        The request ran.
+    UNKNOWN
+        Whether the request ran is not known.
+    RELEASED
+        The request was not sent; the key may be claimed again.
+    """
 
     RAN = 1
     UNKNOWN = 2
@@ -28,14 +38,32 @@
 
 
 class ClaimId(msgspec.Struct, frozen=True, array_like=True):
-    """Which attempt of which process made a claim."""
+    """Identifier of a claim: a process and its sequence number of the claim.
+
+    Attributes
+    ----------
+    incarnation : int
+        Start of the process.
+    sequence : int
+        Number of the claim within the process.
+    """
 
     incarnation: int
     sequence: int
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One claim in a batch."""
+    """One claim in a batch.
+
+    Attributes
+    ----------
+    digest : bytes
+        Digest of the key, as `key_digest` returns it.
+    sequence : int
+        Number of the claim within the process.
+    fingerprint : bytes
+        Digest of the request, to detect another request with the same key.
+    """
 
     digest: bytes
     sequence: int
@@ -43,7 +71,17 @@
 
 
 class EndRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The end of one claim in a batch."""
+    """The end of one claim in a batch.
+
+    Attributes
+    ----------
+    digest : bytes
+        Digest of the key.
+    sequence : int
+        Number of the claim within the process.
+    end : ClaimEnd
+        How it ended.
+    """
 
     digest: bytes
     sequence: int
@@ -51,7 +89,19 @@
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """One record of the claims stream: what one router appends at once."""
+    """One record of the claims stream: all that one router appends at once.
+
+    Attributes
+    ----------
+    router : str
+        Name of the router.
+    incarnation : int
+        Start of its process.
+    claims : list of ClaimRecord
+        New claims.
+    ends : list of EndRecord
+        Ends of claims, applied before `claims`.
+    """
 
     router: str
     incarnation: int
@@ -64,10 +114,16 @@
 
     Attributes
     ----------
+    owner : ClaimId
+        Identifier of the claim.
+    router : str
+        Name of the router that made it.
+    fingerprint : bytes
+        Digest of the request.
     seen : float
-        When it was read, in seconds of this router's monotonic clock.
+        Monotonic seconds of this router at which the claim was read.
     end : ClaimEnd or None
-        How it ended; None while it runs, for all that is known.
+        How it ended; None until the end is read.
     """
 
     owner: ClaimId
@@ -82,18 +138,18 @@
 
 
 def digest_of(organisation: str, key: str) -> bytes:
-    """Return the digest under which an organisation's key is claimed."""
+    """Return the digest by which an organisation's idempotency key is claimed."""
     text = f"{organisation}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=DIGEST_SIZE).digest()
 
 
 class ClaimBook:
-    """Claims in force, oldest first.
+    """Claims that hold a key, oldest first.
 
     Parameters
     ----------
     lifetime : float
-        Seconds for which a key is remembered.
+        Seconds for which a claim holds its key.
     """
 
     def __init__(self, lifetime: float) -> None:
@@ -101,14 +157,22 @@
         self.claims: dict[bytes, Claim] = {}
 
     def find(self, digest: bytes, now: float) -> Claim | None:
-        """Return the claim that holds a key, if one does."""
+        """Return the claim that holds a key, None if there is none."""
         claim = self.claims.get(digest)
         if claim is None or now - claim.seen > self.lifetime:
             return None
         return claim
 
     def apply(self, batch: Batch, now: float) -> Iterator[tuple[ClaimId, Claim]]:
-        """Apply a batch and yield each of its claims with the one that holds."""
+        """Apply a batch and yield each of its claims with the claim that holds the key.
+
+        Parameters
+        ----------
+        batch : Batch
+            The batch, in the order of the log.
+        now : float
+            Monotonic seconds.
+        """
         self._expire(now)
         for end in batch.ends:
             self._end(batch, end)
@@ -138,7 +202,7 @@
 
 
 class StoredAnswer(msgspec.Struct):
-    """The answer to a request that ran, kept for repeats of its key."""
+    """The answer to a request that ran, sent again for retries with its key."""
 
     status: int
     headers: dict[str, str]
@@ -146,12 +210,12 @@
 
 
 class AnswerStore:
-    """Answers of requests that ran here, within a bound of memory.
+    """Answers to requests that this router ran, within a memory limit.
 
     Parameters
     ----------
     limit : int
-        Most bytes of all bodies.
+        Most bytes of all bodies together.
     """
 
     def __init__(self, limit: int) -> None:
@@ -160,7 +224,10 @@
         self.answers: dict[bytes, StoredAnswer] = {}
 
     def put(self, digest: bytes, answer: StoredAnswer) -> None:
-        """Keep an answer, dropping the oldest ones beyond the bound."""
+        """Store an answer and evict the oldest ones beyond the limit.
+
+        An answer larger than the limit is not stored.
+        """
         if len(answer.body) > self.limit:
             return
         self.answers[digest] = answer
--- a/carawayfold/state/endpoints.py
+++ b/carawayfold/state/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that registered with the platform, and which may get new work."""
+"""Endpoints registered with the platform, and which of them may get new requests."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
     ServiceId,
 )
 
-#: Seconds after an outage of the store for which an endpoint is still used whose
-#: entry vanished in it: its lease may have run out only because it could not be
-#: renewed, and then the entry is back about two seconds after the store is.
+#: Seconds after an outage of the store for which an endpoint stays usable whose entry
+#: was removed during the outage. Its lease may have expired only because it could not
+#: be renewed; the entry is then written again about two seconds after the outage.
 LAPSE_GRACE = 2.0
-#: Seconds after an outage for which a vanished entry counts as vanished in it. What
-#: vanishes later has left, and may be used for two seconds at most.
-LAPSE_READ = 0.5
-#: Names of endpoints that are gone whose newest incarnation is remembered, so that a
-#: record that was delayed does not bring an older one back.
-INCARNATIONS_KEPT = 2000
-#: Endpoints no longer registered that are remembered to have said that they leave.
+#: Seconds after an outage within which a removed entry counts as removed during it. An
+#: endpoint whose entry is removed later has stopped, and must not be used for more than
+#: two seconds after that.
+LAPSE_DETECTION_DURATION = 0.5
+#: Most removed endpoints whose newest incarnation is remembered, so that a delayed
+#: record does not restore an older one.
+MAX_INCARNATIONS = 2000
+#: Most unregistered endpoints whose announced stop is remembered.
 ANNOUNCED_KEPT = 2000
-#: Seconds for which it is remembered that an endpoint went: a copy from which the store
-#: comes back is some seconds old, and holds entries of endpoints that went since.
-DEPARTED_FOR = 30.0
+#: Seconds for which a deregistration is remembered. A store restored from a copy some
+#: seconds old still lists endpoints that were deregistered after the copy was made.
+DEREGISTRATION_RETENTION_DURATION = 30.0
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -36,17 +37,23 @@
     Attributes
     ----------
     name : EndpointName
-        What it registers under, the same after a restart.
+        Name under which it registers, the same after a restart.
+    service : ServiceId
+        Service that it runs.
+    address : Address
+        Address of its HTTP interface.
+    data_centre : DataCentreId
+        Data centre in which it runs.
     slots : int
-        Requests that it runs at once.
+        Most requests in flight at once.
     leaving : bool
         Whether it has announced that it stops.
     warm_up : float
-        Seconds of warm-up that were left when its entry was written; 0 if warm.
+        Seconds of warm-up that remained when its entry was written; 0 if none.
     warm_at : float
         Monotonic seconds at which its warm-up ends.
     incarnation : int
-        Unix milliseconds of its start; 0 where it does not say.
+        Unix milliseconds of its start; 0 if not given.
     """
 
     name: EndpointName
@@ -60,15 +67,15 @@
     incarnation: int = 0
 
     def is_warming(self, now: float) -> bool:
-        """Return whether it still warms up."""
+        """Return whether it is warming up at `now`, in monotonic seconds."""
         return now < self.warm_at
 
     @property
     def id(self) -> EndpointId:
-        """Return what tells this incarnation from others of the same name.
+        """Return the identifier of this incarnation: its name and start time.
 
-        All that is believed of an endpoint is kept by it, so that nothing known of
-        one incarnation is taken for the next, which starts with nothing.
+        All state about an endpoint is stored under this identifier, so that a
+        restarted endpoint does not inherit the state of its earlier incarnation.
         """
         if not self.incarnation:
             return EndpointId(self.name)
@@ -81,23 +88,24 @@
     Attributes
     ----------
     offset : Position
-        Next record of the store that is not yet applied.
+        Next record of the store to apply.
     entries : dict
         Registered endpoints by name, leaving ones included.
     lapsed : dict
-        Endpoints whose entry vanished in an outage, with the time until which they
-        are kept.
+        Endpoints whose entry was removed during an outage, with the monotonic seconds
+        until which they are kept.
     incarnations : dict
-        Newest incarnation seen of each name.
+        Newest known incarnation of each name, in Unix milliseconds.
     departed : dict
-        When each endpoint went that went lately.
+        Monotonic seconds of each recent deregistration, by name.
     leaving_since : dict
-        When each registered endpoint that leaves was first known to leave.
+        Monotonic seconds at which each registered endpoint that leaves was first known
+        to leave.
     announced : dict
-        Incarnations that have said in an answer that they leave, which holds until
-        their end whatever their entries say, and whether the fleet was told.
+        Incarnations that announced their stop in an answer, with whether that must be
+        sent to the fleet. It holds until they stop, whatever their entries say.
     outage_end : float
-        Monotonic seconds at which the store was last found out of reach.
+        Monotonic seconds at which the store was last known to be unreachable.
     """
 
     offset: Position = Position(0)
@@ -110,11 +118,11 @@
     outage_end: float = float("-inf")
 
     def put(self, endpoint: Endpoint, now: float = 0.0, listed: bool = False) -> bool:
-        """Add or change an entry; return whether that matters to placement.
+        """Add or change an entry; return whether it changed.
 
-        An entry of an incarnation that is over is passed over, and one that leaves goes
-        on leaving: an older entry of it may come back with a copy of the store, and one
-        that could not be written tells nothing of what the endpoint has said since.
+        An entry of an earlier incarnation is ignored. An endpoint that leaves stays
+        leaving whatever later entries say: an older entry may be restored with a copy
+        of the store, and the endpoint may have failed to write a newer one.
 
         Parameters
         ----------
@@ -123,12 +131,13 @@
         now : float
             Monotonic seconds.
         listed : bool
-            Whether the entry may have been written long ago. The same words about its
-            warm-up then tell nothing new.
+            Whether the entry comes from a complete list, and may have been written long
+            ago. An unchanged `Endpoint.warm_up` then keeps the known end of the
+            warm-up.
         """
         if endpoint.incarnation < self.incarnations.get(endpoint.name, 0):
             return False
-        self._note_incarnation(endpoint)
+        self._record_incarnation(endpoint)
         self.lapsed.pop(endpoint.name, None)
         old = self.entries.get(endpoint.name)
         if old is not None and old.incarnation == endpoint.incarnation:
@@ -149,31 +158,35 @@
         return old != endpoint
 
     def announce(self, endpoint: EndpointId, now: float, by_peer: bool = False) -> bool:
-        """Note that an incarnation has said in an answer that it leaves.
+        """Record that an incarnation announced its stop in an answer.
 
         It need not be registered yet.
 
         Parameters
         ----------
+        endpoint : EndpointId
+            The incarnation.
+        now : float
+            Monotonic seconds.
         by_peer : bool
-            Whether a peer tells so.
+            Whether a peer reported it.
 
         Returns
         -------
         bool
-            Whether the fleet should be told: its entry does not say so yet.
+            Whether the fleet must be notified, as the entry does not show it yet.
         """
         known = self.registered(endpoint)
-        told = by_peer or known is None or not known.leaving
-        if self.announced.get(endpoint) in (True, told):
+        notifies = by_peer or known is None or not known.leaving
+        if self.announced.get(endpoint) in (True, notifies):
             return False
-        self.announced[endpoint] = told
-        self._bound_announced()
+        self.announced[endpoint] = notifies
+        self._limit_announced()
         if known is not None:
             self.put(known, now)
-        return told
+        return notifies
 
-    def _bound_announced(self) -> None:
+    def _limit_announced(self) -> None:
         if len(self.announced) <= ANNOUNCED_KEPT + len(self.entries):
             return
         oldest = next(x for x in self.announced if self.registered(x) is None)
@@ -181,7 +194,7 @@
 
     def registered(self, endpoint: EndpointId) -> Endpoint | None:
         """Return the entry of an incarnation, None if it is not registered."""
-        # An id begins with its name, which may be the whole of it.
+        # An identifier is the name, then "~" and the incarnation if there is one.
         for name in (endpoint.rpartition("~")[0], endpoint):
             entry = self.entries.get(EndpointName(name))
             if entry is not None and entry.id == endpoint:
@@ -189,49 +202,72 @@
         return None
 
     def said_leaving(self) -> list[EndpointId]:
-        """Return the registered endpoints of which the fleet was told so, sorted."""
-        told = [name for name, told in self.announced.items() if told]
-        return sorted(x for x in told if self.registered(x) is not None)
+        """Return the registered endpoints whose stop peers are notified of, sorted."""
+        announced = [name for name, notifies in self.announced.items() if notifies]
+        return sorted(x for x in announced if self.registered(x) is not None)
 
-    def _note_incarnation(self, endpoint: Endpoint) -> None:
+    def _record_incarnation(self, endpoint: Endpoint) -> None:
         self.incarnations[endpoint.name] = endpoint.incarnation
-        if len(self.incarnations) <= INCARNATIONS_KEPT + len(self.entries):
+        if len(self.incarnations) <= MAX_INCARNATIONS + len(self.entries):
             return
         oldest = next(name for name in self.incarnations if name not in self.entries)
         del self.incarnations[oldest]
 
     def remove(self, name: EndpointName, now: float) -> bool:
-        """Note that an entry is gone; return whether its endpoint goes at once."""
+        """Remove an entry; return whether its endpoint became unusable at once.
+
+        An entry removed during an outage of the store is kept for a time, as its lease
+        may have expired only because it could not be renewed.
+        """
         if name not in self.entries:
             return False
-        in_outage = now < self.outage_end + LAPSE_READ
+        in_outage = now < self.outage_end + LAPSE_DETECTION_DURATION
         if in_outage and not self.entries[name].leaving:
             self.lapsed.setdefault(name, self.outage_end + LAPSE_GRACE)
             return False
         self._drop(name)
-        self._note_departed(name, now)
+        self._record_deregistration(name, now)
         return True
 
-    def _note_departed(self, name: EndpointName, now: float) -> None:
-        # The latest are last.
+    def _record_deregistration(self, name: EndpointName, now: float) -> None:
+        # Entries are in order of time, so expired ones come first.
         self.departed.pop(name, None)
         self.departed[name] = now
-        oldest = now - DEPARTED_FOR
+        oldest = now - DEREGISTRATION_RETENTION_DURATION
         while (first := next(iter(self.departed))) and self.departed[first] < oldest:
             del self.departed[first]
 
     def without_departed(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
-        """Return those of a list from a copy that did not go before the copy came."""
+        """Return the endpoints of a restored list that were not deregistered lately.
+
+        Parameters
+        ----------
+        endpoints : list of Endpoint
+            Endpoints listed by a store that was restored from a copy.
+        now : float
+            Monotonic seconds.
+        """
         return [
             endpoint
             for endpoint in endpoints
-            if now - self.departed.get(endpoint.name, float("-inf")) > DEPARTED_FOR
+            if now - self.departed.get(endpoint.name, float("-inf"))
+            > DEREGISTRATION_RETENTION_DURATION
         ]
 
     def replace_all(
         self, endpoints: list[Endpoint], now: float, listed_by_store: bool = True
     ) -> None:
-        """Take a complete list in place of what is known."""
+        """Replace all entries with a complete list.
+
+        Parameters
+        ----------
+        endpoints : list of Endpoint
+            The list.
+        now : float
+            Monotonic seconds.
+        listed_by_store : bool
+            Whether the list comes from the store; see `put`.
+        """
         listed = {endpoint.name for endpoint in endpoints}
         for name in list(self.entries):
             if name not in listed:
@@ -240,20 +276,20 @@
             self.put(endpoint, now, listed=listed_by_store)
 
     def expire(self, now: float) -> list[EndpointName]:
-        """Drop lapsed endpoints that have not come back, and return them."""
-        gone = [name for name, until in self.lapsed.items() if now >= until]
-        for name in gone:
+        """Drop and return lapsed endpoints that have not registered again in time."""
+        expired = [name for name, until in self.lapsed.items() if now >= until]
+        for name in expired:
             self._drop(name)
-        return gone
+        return expired
 
     def note_outage(self, now: float) -> None:
-        """Note that the store was out of reach until `now`."""
+        """Record that the store was unreachable until `now`, in monotonic seconds."""
         self.outage_end = now
         for name in self.lapsed:
             self.lapsed[name] = now + LAPSE_GRACE
 
     def usable(self, service: ServiceId) -> list[Endpoint]:
-        """Return the endpoints of `service` that may get new work."""
+        """Return the endpoints of `service` that may get new requests."""
         return [
             endpoint
             for endpoint in self.entries.values()
--- a/carawayfold/state/evacuations.py
+++ b/carawayfold/state/evacuations.py
@@ -1,4 +1,7 @@
-"""Data centres whose endpoints get nothing, by the operators' word."""
+"""Data centres that operators have evacuated, so that their endpoints get no requests.
+
+Evacuations are read from the store or received from a peer.
+"""
 
 from __future__ import annotations
 
@@ -12,18 +15,23 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-#: Seconds for which an evacuation is kept that a store which came back from a copy no
-#: longer lists: it was written after the copy was made, and nobody took it back.
-COPY_KEPT = 30.0
+#: Seconds for which an evacuation is kept that a store restored from a copy no longer
+#: lists. It was written after the copy was made, and no operator has ended it.
+UNCONFIRMED_DURATION = 30.0
 
 
 class EvacuationSnapshot(msgspec.Struct, frozen=True):
-    """What one router knows of evacuations, for another one; see `EvacuationTable`.
+    """State of an `EvacuationTable`, sent to a peer.
 
     Attributes
     ----------
+    changed_at : Position
+        Position after the last record that changed the evacuations.
+    active : list of DataCentreId
+        Evacuated data centres.
     unconfirmed : dict
-        Seconds for which those are kept that the store no longer lists.
+        Remaining seconds for which evacuations are kept that a restored store does not
+        list.
     """
 
     changed_at: Position
@@ -32,19 +40,19 @@
 
 
 class EvacuationTable(msgspec.Struct):
-    """Evacuated data centres, and where in the operators' records that was said.
+    """Evacuated data centres, and the position of the records that evacuated them.
 
     Attributes
     ----------
     known : bool
-        Whether the store or a peer has told all of them.
+        Whether a complete list was received from the store or a peer.
     changed_at : Position
-        Next record after the last that changed them.
+        Position after the last record that changed the evacuations.
     active : set of DataCentreId
-        Those evacuated.
+        Evacuated data centres.
     unconfirmed : dict
-        Those kept though a store from a copy does not list them, with the monotonic
-        seconds until which they are.
+        Evacuations that a store restored from a copy does not list, with the monotonic
+        seconds until which they are kept.
     """
 
     known: bool = False
@@ -52,61 +60,80 @@
     active: set[DataCentreId] = msgspec.field(default_factory=set)
     unconfirmed: dict[DataCentreId, float] = msgspec.field(default_factory=dict)
 
-    def read(self, words: Mapping[DataCentreId, bool], after: Position) -> bool:
-        """Take what was read on; return whether it changes anything.
+    def read(self, states: Mapping[DataCentreId, bool], after: Position) -> bool:
+        """Apply records that were read; return whether the evacuations changed.
 
         Parameters
         ----------
-        words : mapping
-            The last word on each data centre: whether it is evacuated.
+        states : mapping
+            Whether each data centre is evacuated, by its newest record.
         after : Position
-            Where the reading ended; what a peer has told from beyond that stands.
+            Position after the last record. The records are ignored where a peer has
+            already sent the state after it.
         """
         if after <= self.changed_at:
             return False
-        for data_centre in words:
+        for data_centre in states:
             self.unconfirmed.pop(data_centre, None)
-        ended = {name for name, active in words.items() if not active}
-        begun = words.keys() - ended
+        ended = {name for name, active in states.items() if not active}
+        begun = states.keys() - ended
         return self._replace((self.active - ended) | begun, after)
 
     def listed(
         self, active: Iterable[DataCentreId], after: Position, now: float
     ) -> bool:
-        """Take the store's whole list; return whether it changes anything."""
+        """Apply a complete list of the store; return whether the evacuations changed.
+
+        Parameters
+        ----------
+        active : iterable of DataCentreId
+            Evacuated data centres.
+        after : Position
+            Position up to which the list is current.
+        now : float
+            Monotonic seconds.
+        """
         if after < self.changed_at:
             return False
         self.known = True
-        wanted = set(active)
+        evacuated = set(active)
         if era_of(after) > era_of(self.changed_at):
-            for data_centre in self.active - wanted:
-                self.unconfirmed.setdefault(data_centre, now + COPY_KEPT)
-        return self._replace(wanted | self.unconfirmed.keys(), after)
+            for data_centre in self.active - evacuated:
+                self.unconfirmed.setdefault(data_centre, now + UNCONFIRMED_DURATION)
+        return self._replace(evacuated | self.unconfirmed.keys(), after)
 
     def told(self, snapshot: EvacuationSnapshot, now: float) -> bool:
-        """Take a peer's list if it knows later changes; return whether it differs."""
+        """Apply a peer's state if it is newer; return whether the evacuations changed.
+
+        Parameters
+        ----------
+        snapshot : EvacuationSnapshot
+            State of the peer.
+        now : float
+            Monotonic seconds.
+        """
         if self.known and snapshot.changed_at <= self.changed_at:
             return False
         self.known = True
         self.changed_at = snapshot.changed_at
         self.unconfirmed = {
-            name: now + left for name, left in snapshot.unconfirmed.items()
+            name: now + remaining for name, remaining in snapshot.unconfirmed.items()
         }
         return self._replace(set(snapshot.active), snapshot.changed_at)
 
     def snapshot(self, now: float) -> EvacuationSnapshot:
-        """Return all of it for a peer."""
+        """Return the state to send to a peer."""
         unconfirmed = {name: until - now for name, until in self.unconfirmed.items()}
         return EvacuationSnapshot(self.changed_at, sorted(self.active), unconfirmed)
 
     def expire(self, now: float) -> bool:
-        """End what a store from a copy has not confirmed for long enough."""
-        over = {name for name, until in self.unconfirmed.items() if now >= until}
-        for data_centre in over:
+        """End evacuations left unconfirmed for too long; return whether any ended."""
+        expired = {name for name, until in self.unconfirmed.items() if now >= until}
+        for data_centre in expired:
             del self.unconfirmed[data_centre]
-        if not over & self.active:
+        if not expired & self.active:
             return False
-        self.active = self.active - over
+        self.active = self.active - expired
         return True
 
     def _replace(self, active: set[DataCentreId], after: Position) -> bool:
--- a/carawayfold/state/patience.py
+++ b/carawayfold/state/patience.py
@@ -1,4 +1,4 @@
-"""How long callers have waited already, told by the time that they have left."""
+"""Estimates how long callers have waited already, from the time to their deadlines."""
 
 from __future__ import annotations
 
@@ -6,53 +6,62 @@
 
 import msgspec
 
-#: Times left that are remembered of a route before all counts are halved.
-REMEMBERED = 400
-#: Least count, and least part of all, of a time left that callers begin with. One
-#: that comes back after a refusal has an odd number of milliseconds left.
-LEAST_COUNT = 4
-LEAST_PART = 0.04
+#: Number of samples of a route at which all counts are halved.
+MAX_SAMPLES = 400
+#: Least count, and least fraction of all samples, at which a value is taken for an
+#: initial time-out of callers. Callers that retry after a rejection have arbitrary
+#: values left, none of which is frequent.
+MIN_COUNT = 4
+MIN_FRACTION = 0.04
 
 
 class Patience(msgspec.Struct):
-    """Times that callers of one route had left, in milliseconds.
+    """Distribution of the time that callers of one route have to their deadlines.
 
-    Callers begin with a fixed time, so a time that comes up again and again is one
-    that callers begin with. The route's own time limit does not tell it: operators
-    change that without callers knowing.
+    Callers begin with a fixed time-out, so a frequent value is the initial time-out of
+    some callers. The time-out configured for the route cannot be used instead, as
+    operators change it independently of the callers.
+
+    Attributes
+    ----------
+    counts : Counter of int
+        Number of samples by milliseconds to the deadline.
+    total : int
+        Sum of the counts.
     """
 
     counts: Counter[int] = msgspec.field(default_factory=Counter)
     total: int = 0
 
     def waited(self, left: float) -> float:
-        """Note the time left of a caller and return how long it has waited.
+        """Record the time left of a caller and return how long it has waited.
 
         Parameters
         ----------
         left : float
-            Seconds that it has left.
+            Seconds to the deadline of the caller.
 
         Returns
         -------
         float
-            Seconds since the time that it began with; 0 where that is not known.
+            Estimated seconds since its first attempt: the difference to the least
+            initial time-out that is not shorter; 0 if there is none.
         """
         milliseconds = round(left * 1000)
-        self._note(milliseconds)
-        begun = [
+        self._record(milliseconds)
+        initial = [
             value
             for value, count in self.counts.items()
             if value >= milliseconds
-            and count >= LEAST_COUNT
-            and count >= LEAST_PART * self.total
+            and count >= MIN_COUNT
+            and count >= MIN_FRACTION * self.total
         ]
-        return (min(begun) - milliseconds) / 1000 if begun else 0.0
+        return (min(initial) - milliseconds) / 1000 if initial else 0.0
 
-    def _note(self, milliseconds: int) -> None:
+    def _record(self, milliseconds: int) -> None:
         self.counts[milliseconds] += 1
         self.total += 1
-        if self.total < REMEMBERED:
+        if self.total < MAX_SAMPLES:
             return
         halved = {value: count // 2 for value, count in self.counts.items()}
         self.counts = Counter(
--- a/carawayfold/state/pressure.py
+++ b/carawayfold/state/pressure.py
@@ -1,9 +1,10 @@
-"""Whether this process keeps up with its work, told by how late its loop runs.
+"""Overload detection for this process, from the delay of its event loop.
 
-The load it answers: a balancer that sends one caller's connections to one instance,
-and a caller that alone sends more than an instance can carry. What the instance can't
-carry is refused at once, so that it comes back elsewhere while there is time; what it
-can carry must not wait behind that. What is late by a moment's burst is not overload.
+It guards against a load balancer that sends all connections of one caller to one
+instance, and a caller that sends more than an instance can process. Requests beyond the
+capacity are rejected at once, so that callers retry at another instance before their
+deadline, and so that other requests do not queue behind them. A delay caused by a short
+burst does not count as overload.
 """
 
 from __future__ import annotations
@@ -12,66 +13,79 @@
 
 import msgspec
 
-#: Samples of which the least delay counts: a process that stood still as a whole,
-#: such as a suspended instance, has one late sample.
-SAMPLES = 2
-#: Seconds of delay up to which a loop keeps up: a tenth of the shortest objective
-#: of the deployments served.
-TARGET = 0.02
-#: What a sample at the target adds to the part of requests that is refused; a later
-#: one adds more in proportion, up to `STEEPEST` times as much. A loop that is late by
-#: 0.1 s refuses half of the requests within two samples.
-RISE = 0.05
-STEEPEST = 5.0
-#: What a sample in time takes off it again: slower, so that the load that was sent
-#: away does not come back at once.
-FALL = 0.01
-#: Most that is refused, so that a process always serves something.
-MOST = 0.95
-#: Part refused from which a process should do nothing for others that these can do.
-OVERLOADED = 0.3
-#: Seconds without a refusal after which an instance welcomes connections again, so
-#: that a balancer that asks once a second does not see each change.
-CALM_AFTER = 2.0
+#: Number of newest samples of which the least delay counts. A process that was paused
+#: as a whole, such as a suspended instance, has only one late sample.
+MIN_FILTER_SAMPLES = 2
+#: Seconds of loop delay up to which a process is not overloaded: a tenth of the
+#: shortest latency objective of the supported deployments.
+TARGET_DELAY = 0.02
+#: Increase of the rejected fraction per sample at the target delay. A longer delay adds
+#: proportionally more, up to `MAX_INCREASE_FACTOR` times as much. A loop that is late
+#: by 0.1 s rejects half of the requests within two samples.
+FRACTION_INCREASE = 0.05
+MAX_INCREASE_FACTOR = 5.0
+#: Decrease of the rejected fraction per sample below the target delay. Slower than the
+#: increase, so that the rejected load does not return at once.
+FRACTION_DECREASE = 0.01
+#: Largest rejected fraction, so that a process always serves some requests.
+MAX_REJECTED_FRACTION = 0.95
+#: Rejected fraction from which a process hands over tasks that other processes can do.
+OVERLOAD_FRACTION = 0.3
+#: Seconds without a rejection after which an instance accepts new connections again.
+#: Keeps a load balancer that probes once a second from reacting to every change.
+CALM_DURATION = 2.0
 
 
 class PressureGauge(msgspec.Struct):
-    """The part of requests to refuse, from the newest delays of the loop.
+    """The fraction of requests to reject, from the newest delays of the event loop.
 
     Attributes
     ----------
     part : float
-        From 0, for a process that keeps up, to `MOST`.
+        Fraction of requests to reject, from 0 to `MAX_REJECTED_FRACTION`.
+    delays : deque of float
+        Newest delays in seconds.
+    accumulated : float
+        Sum of the fractions since the last rejection, so that rejections are evenly
+        spaced.
+    last_busy_at : float
+        Monotonic seconds at which the fraction was last above 0.
     """
 
     part: float = 0.0
-    delays: deque[float] = msgspec.field(default_factory=lambda: deque(maxlen=SAMPLES))
-    drawn: float = 0.0
-    busy_at: float = float("-inf")
+    delays: deque[float] = msgspec.field(
+        default_factory=lambda: deque(maxlen=MIN_FILTER_SAMPLES)
+    )
+    accumulated: float = 0.0
+    last_busy_at: float = float("-inf")
 
     def note(self, delay: float, now: float) -> None:
-        """Take a sample of the loop's delay, in seconds."""
+        """Update the fraction with a delay of the loop; both arguments in seconds."""
         self.delays.append(delay)
-        least = min(self.delays) if len(self.delays) == SAMPLES else 0.0
-        if least > TARGET:
-            self.part = min(MOST, self.part + RISE * min(STEEPEST, least / TARGET))
+        least = min(self.delays) if len(self.delays) == MIN_FILTER_SAMPLES else 0.0
+        if least > TARGET_DELAY:
+            self.part = min(
+                MAX_REJECTED_FRACTION,
+                self.part
+                + FRACTION_INCREASE * min(MAX_INCREASE_FACTOR, least / TARGET_DELAY),
+            )
         else:
-            self.part = max(0.0, self.part - FALL)
+            self.part = max(0.0, self.part - FRACTION_DECREASE)
         if self.part > 0:
-            self.busy_at = now
+            self.last_busy_at = now
 
     def is_busy(self, now: float) -> bool:
-        """Return whether new connections should go elsewhere."""
-        return now - self.busy_at < CALM_AFTER
+        """Return whether new connections should go to other instances."""
+        return now - self.last_busy_at < CALM_DURATION
 
     def is_overloaded(self) -> bool:
-        """Return whether this process should leave what it does for others to these."""
-        return self.part >= OVERLOADED
+        """Return whether tasks that other processes can do should be handed over."""
+        return self.part >= OVERLOAD_FRACTION
 
     def refuses(self) -> bool:
-        """Return whether the next request should be refused: `part` of them evenly."""
-        self.drawn += self.part
-        if self.drawn < 1:
+        """Return whether to reject the next request, a fraction `part` of all."""
+        self.accumulated += self.part
+        if self.accumulated < 1:
             return False
-        self.drawn -= 1
+        self.accumulated -= 1
         return True
--- a/carawayfold/state/queue.py
+++ b/carawayfold/state/queue.py
@@ -1,4 +1,4 @@
-"""Requests waiting in one router for one service, kept per organisation."""
+"""Queue of the requests that wait in one router for one service, by organisation."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
     from carawayfold.state.ids import EndpointId, OrganisationId, RequestId
 
-#: One in this many requests of an organisation is taken from its normal class
-#: while urgent ones wait, so that long work still completes.
-NORMAL_EVERY = 5
+#: One in this many requests of an organisation is taken from its normal class while
+#: urgent ones wait, so that urgent requests do not starve normal ones.
+NORMAL_PERIOD = 5
 
 
 class Waiter(msgspec.Struct, eq=False):
@@ -25,19 +25,19 @@
     Attributes
     ----------
     request_id : RequestId
-        The request.
+        Identifier of the request.
     organisation : OrganisationId
-        Whose share it uses.
+        Organisation whose share it uses.
     urgent : bool
-        Whether it goes before normal work of the same organisation.
+        Whether it goes before normal requests of the same organisation.
     since : float
-        Time of arrival, in seconds of the monotonic clock.
+        Monotonic seconds of its arrival.
     deadline : float
-        Time by which it must have begun, same clock.
+        Monotonic seconds by which it must have begun.
     granted : asyncio.Future of EndpointId
-        Resolved with the endpoint on which it may begin.
+        Resolved with the endpoint that may run the request.
     avoid : frozenset of EndpointId
-        Endpoints that already failed this request.
+        Endpoints at which the request has failed.
     """
 
     request_id: RequestId
@@ -50,7 +50,15 @@
 
 
 class OrganisationQueue(msgspec.Struct):
-    """Waiting requests of one organisation, in two classes."""
+    """Waiting requests of one organisation, in two classes.
+
+    Attributes
+    ----------
+    urgent, normal : deque of Waiter
+        Requests of each class in order of arrival.
+    taken : int
+        Number of requests taken so far.
+    """
 
     urgent: deque[Waiter] = msgspec.field(default_factory=deque)
     normal: deque[Waiter] = msgspec.field(default_factory=deque)
@@ -60,13 +68,13 @@
         return len(self.urgent) + len(self.normal)
 
     def oldest(self) -> float:
-        """Return the arrival time of the request that waits longest."""
-        heads = [part[0].since for part in (self.urgent, self.normal) if part]
+        """Return the arrival of the longest waiting request, in monotonic seconds."""
+        heads = [waiters[0].since for waiters in (self.urgent, self.normal) if waiters]
         return min(heads)
 
     def order(self) -> tuple[deque[Waiter], deque[Waiter]]:
-        """Return the two classes, the one to take from first."""
-        if self.taken % NORMAL_EVERY == NORMAL_EVERY - 1:
+        """Return the two classes, the one to take from before the other."""
+        if self.taken % NORMAL_PERIOD == NORMAL_PERIOD - 1:
             return self.normal, self.urgent
         return self.urgent, self.normal
 
@@ -77,9 +85,9 @@
     Parameters
     ----------
     organisation_limit : int
-        Most requests of one organisation.
+        Most waiting requests of one organisation.
     total_limit : int
-        Most requests in all.
+        Most waiting requests in all.
     """
 
     def __init__(self, organisation_limit: int, total_limit: int) -> None:
@@ -95,7 +103,7 @@
         Raises
         ------
         Refusal
-            ``queue-full`` where a bound is reached.
+            ``queue-full`` if a limit is reached.
         """
         queue = self.queues.get(waiter.organisation)
         if queue is not None and len(queue) >= self.organisation_limit:
@@ -104,8 +112,8 @@
             raise Refusal(ErrorKind.QUEUE_FULL, "the router's queue is full")
         if queue is None:
             queue = self.queues[waiter.organisation] = OrganisationQueue()
-        part = queue.urgent if waiter.urgent else queue.normal
-        part.append(waiter)
+        waiters = queue.urgent if waiter.urgent else queue.normal
+        waiters.append(waiter)
         self.total += 1
 
     def take(self, organisation: OrganisationId, endpoint: EndpointId) -> Waiter | None:
@@ -114,24 +122,24 @@
         Parameters
         ----------
         organisation : OrganisationId
-            Organisation whose turn it is.
+            Organisation to serve.
         endpoint : EndpointId
             Endpoint with a free slot.
 
         Returns
         -------
         Waiter or None
-            None where no request may go there.
+            None if no request may go there.
         """
         queue = self.queues.get(organisation)
         if queue is None:
             return None
-        for part in queue.order():
-            for waiter in part:
+        for waiters in queue.order():
+            for waiter in waiters:
                 if endpoint not in waiter.avoid:
-                    part.remove(waiter)
+                    waiters.remove(waiter)
                     queue.taken += 1
-                    self._removed(organisation, queue)
+                    self._after_removal(organisation, queue)
                     return waiter
         return None
 
@@ -140,14 +148,16 @@
         queue = self.queues.get(waiter.organisation)
         if queue is None:
             return False
-        part = queue.urgent if waiter.urgent else queue.normal
-        if waiter not in part:
+        waiters = queue.urgent if waiter.urgent else queue.normal
+        if waiter not in waiters:
             return False
-        part.remove(waiter)
-        self._removed(waiter.organisation, queue)
+        waiters.remove(waiter)
+        self._after_removal(waiter.organisation, queue)
         return True
 
-    def _removed(self, organisation: OrganisationId, queue: OrganisationQueue) -> None:
+    def _after_removal(
+        self, organisation: OrganisationId, queue: OrganisationQueue
+    ) -> None:
         self.total -= 1
         if not len(queue):
             del self.queues[organisation]
--- a/carawayfold/state/rests.py
+++ b/carawayfold/state/rests.py
@@ -1,4 +1,8 @@
-"""Endpoints that want nothing from this router for a while, by their own word."""
+"""Backoff of this router from endpoints that asked it to send no requests for a time.
+
+After the backoff an endpoint gets single probe requests until it has answered one
+without a new backoff, so that the requests withheld from it do not arrive all at once.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +15,22 @@
 
     from carawayfold.state.ids import EndpointId
 
-#: Most seconds of rest that are granted: one that wants none for longer should leave,
-#: and a mistake must not cost its service an endpoint for good.
-REST_MOST = 60.0
-#: Seconds after which a further request is tried while the first one after a rest is
-#: still unanswered.
+#: Longest backoff in seconds. An endpoint that needs more should announce its stop, and
+#: a wrong value must not remove an endpoint from its service for good.
+MAX_BACKOFF_DURATION = 60.0
+#: Seconds between probe requests after a backoff while none is answered.
 PROBE_INTERVAL = 0.25
 
 
-class Rest(msgspec.Struct):
-    """The rest of one endpoint.
+class EndpointBackoff(msgspec.Struct):
+    """Backoff from one endpoint.
 
     Attributes
     ----------
     until : float
         Monotonic seconds at which it ends.
     next_probe : float
-        Monotonic seconds from which one more request may be tried after that.
+        Monotonic seconds from which the next probe request may be sent.
     """
 
     until: float
@@ -35,63 +38,76 @@
 
 
 class Rests:
-    """Rests that endpoints have asked this router for.
-
-    After its rest an endpoint gets one request at a time until it has answered one
-    without asking for more: all that was kept from it would otherwise come at once.
+    """Backoffs that endpoints requested of this router.
 
     Attributes
     ----------
     entries : dict
-        Endpoints that rest, or have not answered since.
+        Backoffs by endpoint, kept until the endpoint has answered a probe request.
     """
 
     def __init__(self) -> None:
-        self.entries: dict[EndpointId, Rest] = {}
+        self.entries: dict[EndpointId, EndpointBackoff] = {}
 
     def ask(self, endpoint: EndpointId, seconds: float, now: float) -> None:
-        """Take that an endpoint wants nothing for so long; a longer rest stands."""
+        """Record that an endpoint requested a backoff.
+
+        It does not shorten an earlier backoff.
+
+        Parameters
+        ----------
+        endpoint : EndpointId
+            The endpoint.
+        seconds : float
+            Duration requested; ignored unless greater than 0, and limited to
+            `MAX_BACKOFF_DURATION`.
+        now : float
+            Monotonic seconds.
+        """
         if seconds <= 0:
             return
-        until = now + min(seconds, REST_MOST)
+        until = now + min(seconds, MAX_BACKOFF_DURATION)
         known = self.entries.get(endpoint)
         if known is not None:
             until = max(until, known.until)
-        self.entries[endpoint] = Rest(until, until)
+        self.entries[endpoint] = EndpointBackoff(until, until)
 
     def answered(self, endpoint: EndpointId, sent_at: float) -> None:
-        """Take that an endpoint has answered a request without asking for rest."""
+        """Record an answer without a backoff to a request sent at `sent_at`.
+
+        The backoff is dropped if the request was sent after its end.
+        """
         known = self.entries.get(endpoint)
         if known is not None and sent_at >= known.until:
             del self.entries[endpoint]
 
     def sent(self, endpoint: EndpointId, now: float) -> None:
-        """Note that a request goes to an endpoint."""
+        """Record that a request is sent to an endpoint."""
         known = self.entries.get(endpoint)
         if known is not None:
             known.next_probe = now + PROBE_INTERVAL
 
     def opens_at(self, endpoint: EndpointId, now: float) -> float:
-        """Return when an endpoint may get the next request, 0 if it may now."""
+        """Return when an endpoint may get a request, in monotonic seconds; 0 if now."""
         known = self.entries.get(endpoint)
         if known is None or known.next_probe <= now:
             return 0.0
         return known.next_probe
 
     def lasts(self, endpoint: EndpointId, now: float) -> bool:
-        """Return whether an endpoint rests now."""
+        """Return whether the backoff from an endpoint lasts at `now`."""
         known = self.entries.get(endpoint)
         return known is not None and now < known.until
 
     def expire(self, registered: Container[EndpointId], now: float) -> None:
-        """Forget endpoints that are gone and whose rest is over.
+        """Drop ended backoffs of endpoints that are no longer registered.
 
-        One whose entry vanishes may be back before that.
+        A backoff that lasts is kept, as the endpoint may register again before its end.
         """
-        over = [
+        expired = [
             endpoint
-            for endpoint, rest in self.entries.items()
-            if endpoint not in registered and now >= rest.until
+            for endpoint, backoff in self.entries.items()
+            if endpoint not in registered and now >= backoff.until
         ]
-        for endpoint in over:
+        for endpoint in expired:
             del self.entries[endpoint]
--- a/tests/state/test_endpoints.py
+++ b/tests/state/test_endpoints.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from carawayfold.state.endpoints import INCARNATIONS_KEPT, LAPSE_GRACE, EndpointTable
+from carawayfold.state.endpoints import LAPSE_GRACE, MAX_INCARNATIONS, EndpointTable
 from tests.schedule_builders import endpoint
 
 
@@ -86,10 +86,10 @@
 
 def test_the_memory_of_incarnations_is_bounded():
     table = EndpointTable()
-    for number in range(3 * INCARNATIONS_KEPT):
+    for number in range(3 * MAX_INCARNATIONS):
         table.put(endpoint(f"e-{number}", incarnation=1))
         table.remove(f"e-{number}", 5.0)
-    assert len(table.incarnations) <= INCARNATIONS_KEPT + 1
+    assert len(table.incarnations) <= MAX_INCARNATIONS + 1
 
 
 def test_a_lapsed_endpoint_that_started_again_is_the_new_one():
--- a/tests/state/test_evacuations.py
+++ b/tests/state/test_evacuations.py
@@ -5,7 +5,7 @@
 import pytest
 
 from carawayfold.state.evacuations import (
-    COPY_KEPT,
+    UNCONFIRMED_DURATION,
     EvacuationSnapshot,
     EvacuationTable,
 )
@@ -64,8 +64,8 @@
     table = evacuated("north", "south", after=position(0, 10))
     table.listed(["south"], position(1, 8), 100.0)
     assert table.active == {"north", "south"}
-    assert not table.expire(100.0 + COPY_KEPT - 0.1)
-    assert table.expire(100.0 + COPY_KEPT)
+    assert not table.expire(100.0 + UNCONFIRMED_DURATION - 0.1)
+    assert table.expire(100.0 + UNCONFIRMED_DURATION)
     assert table.active == {"south"}
 
 
@@ -84,7 +84,7 @@
     peer = EvacuationTable()
     peer.told(table.snapshot(110.0), 500.0)
     assert peer.active == {"north", "south"}
-    assert peer.expire(500.0 + COPY_KEPT - 10.0)
+    assert peer.expire(500.0 + UNCONFIRMED_DURATION - 10.0)
     assert peer.active == {"south"}
 
 
@@ -94,4 +94,4 @@
     table.listed([], position(1, 8), 100.0)
     if again:
         table.listed([], position(2, 8), 120.0)
-    assert table.expire(100.0 + COPY_KEPT)
+    assert table.expire(100.0 + UNCONFIRMED_DURATION)
--- a/tests/state/test_pressure.py
+++ b/tests/state/test_pressure.py
@@ -5,11 +5,11 @@
 import pytest
 
 from carawayfold.state.pressure import (
-    CALM_AFTER,
-    FALL,
-    MOST,
-    STEEPEST,
-    TARGET,
+    CALM_DURATION,
+    FRACTION_DECREASE,
+    MAX_INCREASE_FACTOR,
+    MAX_REJECTED_FRACTION,
+    TARGET_DELAY,
     PressureGauge,
 )
 
@@ -26,13 +26,15 @@
 
 def test_a_loop_in_time_refuses_nothing():
     gauge = PressureGauge()
-    now = feed(gauge, [TARGET / 2] * 50)
+    now = feed(gauge, [TARGET_DELAY / 2] * 50)
     assert gauge.part == 0
     assert not gauge.is_busy(now)
     assert not any(gauge.refuses() for _ in range(100))
 
 
-@pytest.mark.parametrize("delay", [TARGET * 1.1, TARGET * STEEPEST, 1.0])
+@pytest.mark.parametrize(
+    "delay", [TARGET_DELAY * 1.1, TARGET_DELAY * MAX_INCREASE_FACTOR, 1.0]
+)
 def test_a_delay_that_stays_is_refused_more_and_more(delay):
     gauge = PressureGauge()
     parts = []
@@ -40,7 +42,7 @@
         feed(gauge, [delay])
         parts.append(gauge.part)
     assert parts == sorted(parts)
-    assert parts[-1] == MOST
+    assert parts[-1] == MAX_REJECTED_FRACTION
 
 
 def test_requests_are_refused_evenly():
@@ -66,10 +68,10 @@
     gauge = PressureGauge()
     now = feed(gauge, [1.0] * 10)
     assert gauge.is_busy(now)
-    now = feed(gauge, [0.0] * int(MOST / FALL + 1), now)
+    now = feed(gauge, [0.0] * int(MAX_REJECTED_FRACTION / FRACTION_DECREASE + 1), now)
     assert gauge.part == 0
     assert gauge.is_busy(now)
-    now = feed(gauge, [0.0] * int(CALM_AFTER / STEP + 1), now)
+    now = feed(gauge, [0.0] * int(CALM_DURATION / STEP + 1), now)
     assert not gauge.is_busy(now)
 
 
--- a/tests/state/test_queue.py
+++ b/tests/state/test_queue.py
@@ -7,7 +7,7 @@
 import pytest
 
 from carawayfold.errors import ErrorKind, Refusal
-from carawayfold.state.queue import NORMAL_EVERY, ServiceQueue
+from carawayfold.state.queue import NORMAL_PERIOD, ServiceQueue
 from tests.builders import waiter
 
 
@@ -18,7 +18,7 @@
             queue.push(waiter(urgent=True))
         normal = waiter()
         queue.push(normal)
-        taken = [queue.take("alder", "endpoint") for _ in range(NORMAL_EVERY)]
+        taken = [queue.take("alder", "endpoint") for _ in range(NORMAL_PERIOD)]
         return taken, normal
 
     taken, normal = asyncio.run(scenario())
--- a/tests/state/test_rests.py
+++ b/tests/state/test_rests.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from carawayfold.state.rests import PROBE_INTERVAL, REST_MOST, Rests
+from carawayfold.state.rests import MAX_BACKOFF_DURATION, PROBE_INTERVAL, Rests
 from tests.model_check import check
 
 NAME = "e-1"
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("seconds", [1e9, float("inf")])
 def test_a_time_without_reason_ends_all_the_same(seconds):
-    assert rested(seconds).opens_at(NAME, 0.0) == REST_MOST
+    assert rested(seconds).opens_at(NAME, 0.0) == MAX_BACKOFF_DURATION
 
 
 def test_a_shorter_rest_asked_for_later_ends_no_longer_one():
