--- a/carawayfold/state/claims.py
+++ b/carawayfold/state/claims.py
@@ -43,7 +43,7 @@
     Attributes
     ----------
     incarnation : int
-        Start of the process.
+        Incarnation of the router, which changes with each start.
     sequence : int
         Number of the claim within the process.
     """
@@ -96,7 +96,7 @@
     router : str
         Name of the router.
     incarnation : int
-        Start of its process.
+        Incarnation of the router, which changes with each start.
     claims : list of ClaimRecord
         New claims.
     ends : list of EndRecord
--- a/carawayfold/state/configuration.py
+++ b/carawayfold/state/configuration.py
@@ -1,4 +1,8 @@
-"""The configuration: its objects, its changes and the deterministic apply rule."""
+"""The configuration: its objects, its changes and the deterministic rule to apply them.
+
+Changes are records on a log. Every router that has applied the same prefix of the log
+has the same configuration.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +11,14 @@
 
 import msgspec
 
-#: Outcomes of changes that are remembered so that repeats stay idempotent.
-CHANGES_REMEMBERED = 4096
-#: Revision that a change names when it creates an object.
-ABSENT = 0
+#: Most outcomes of changes that are remembered, so that retries are idempotent.
+MAX_OUTCOMES = 4096
+#: Value of `Change.based_on` in a change that creates an object.
+ABSENT_REVISION = 0
 
 
 class Organisation(msgspec.Struct, frozen=True, tag="organisation"):
-    """An organisation and the share of capacity that it is owed.
+    """An organisation and its share of the capacity.
 
     Attributes
     ----------
@@ -23,7 +27,7 @@
     share : float
         Weight against other organisations; greater than zero.
     brand : str
-        Name of the brand that resells to it; empty for none.
+        Name of the brand under which it is resold; empty for none.
     """
 
     id: str
@@ -32,21 +36,29 @@
 
 
 class Brand(msgspec.Struct, frozen=True, tag="brand"):
-    """A label under which organisations are resold."""
+    """A brand under which organisations are resold.
+
+    Attributes
+    ----------
+    id : str
+        Name of the brand.
+    title : str
+        Title for display.
+    """
 
     id: str
     title: str = ""
 
 
 class ApiKey(msgspec.Struct, frozen=True, tag="key"):
-    """An API key, kept only as its hash.
+    """An API key, stored only as its hash.
 
     Attributes
     ----------
     id : str
         Hexadecimal SHA-256 of the key.
     organisation : str
-        Organisation that the key names.
+        Organisation that the key belongs to.
     """
 
     id: str
@@ -54,18 +66,18 @@
 
 
 class Service(msgspec.Struct, frozen=True, tag="service"):
-    """A model or application that callers can reach.
+    """A model or application that callers can use.
 
     Attributes
     ----------
     id : str
-        Name, also the model name or path segment.
+        Name, which is also the model name or path segment in requests.
     model : bool
-        True for model engines, False for plain applications.
+        Whether its endpoints are model engines; False for plain applications.
     repeatable : bool
-        False where a request may run at most once.
+        Whether a request may run more than once.
     spread : bool
-        Whether requests may go to other data centres.
+        Whether requests may be sent to other data centres.
     """
 
     id: str
@@ -75,24 +87,24 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, tag="endpoint"):
-    """One worker that serves a service.
+    """One endpoint of a service.
 
     Attributes
     ----------
     id : str
         Name of the endpoint.
     service : str
-        Service that it serves.
+        Service that it runs.
     data_centre : str
-        Data centre in which it stands.
+        Data centre in which it runs.
     host : str
-        IP number.
+        IP address.
     port : int
         TCP port.
     slots : int
-        Requests that may be in flight at once.
+        Most requests in flight at once.
     draining : bool
-        Whether it gets no new work.
+        Whether it is drained, so that it gets no new requests.
     """
 
     id: str
@@ -109,20 +121,20 @@
 
 
 class Change(msgspec.Struct, frozen=True, tag="change"):
-    """One change of one object, as it stands on the log.
+    """One change of one object, as recorded on the log.
 
     Attributes
     ----------
     change_id : str
-        Chosen by the operator; a repeat with the same id is idempotent.
+        Identifier set by the operator; a retry with the same one is idempotent.
     based_on : int
-        Revision of the object that the operator saw; 0 where it is absent.
+        Revision of the object that the change replaces; 0 if it does not exist.
     object : ConfigObject
         New value, or the value to remove.
     remove : bool
-        Whether the object is removed.
+        Whether to remove the object.
     operator : str
-        Who asked.
+        Name of the operator.
     """
 
     change_id: str
@@ -133,12 +145,12 @@
 
 
 class Checkpoint(msgspec.Struct, frozen=True, tag="checkpoint"):
-    """Part of a full copy of the configuration, carried forward on the log.
+    """Part of a complete copy of the configuration, appended to the log.
 
     Attributes
     ----------
     through : int
-        Offset of the last record that the copy contains.
+        Offset of the last record that the copy includes.
     part, parts : int
         Position of this part, counted from 0, and number of parts.
     payload : bytes
@@ -155,7 +167,17 @@
 
 
 class ChangeState(Enum):
-    """What became of a change."""
+    """Result of a change.
+
+    Attributes
+    ----------
+    ACCEPTED
+        Applied.
+    CONFLICT
+        Not applied, as it is based on another revision, or removes an object in use.
+    INVALID
+        Not applied, as a value or a reference of its object is invalid.
+    """
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -163,16 +185,16 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What became of a change, and why.
+    """Result of a change, and why it was not accepted.
 
     Attributes
     ----------
     state : ChangeState
-        The verdict, the same on every router.
+        Result of the change, the same on every router.
     revision : int
         Offset of the change's record, plus one.
     detail : str
-        Why it was not accepted.
+        Why it was not accepted; empty if it was.
     """
 
     state: ChangeState
@@ -181,17 +203,25 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """An object with the revision at which it was last changed."""
+    """An object with the revision at which it was last changed.
+
+    Attributes
+    ----------
+    object : ConfigObject
+        The object.
+    revision : int
+        Revision of its last change.
+    """
 
     object: ConfigObject
     revision: int
 
 
 class Snapshot(msgspec.Struct):
-    """A configuration as of one offset of the log.
+    """The configuration at one offset of the log.
 
-    The state is a function of the log's prefix alone, so that every router that
-    has read the same prefix holds the same snapshot.
+    It depends on the prefix of the log alone, so that every router that has read the
+    same prefix has the same snapshot.
 
     Attributes
     ----------
@@ -200,7 +230,7 @@
     entries : dict of str to Entry
         Objects by ``kind/id``.
     outcomes : dict of str to Outcome
-        Verdicts by change id, oldest first, at most `CHANGES_REMEMBERED`.
+        Outcomes by change identifier, oldest first, at most `MAX_OUTCOMES`.
     """
 
     through: int = -1
@@ -208,54 +238,56 @@
     outcomes: dict[str, Outcome] = {}
 
     def find(self, key: str) -> ConfigObject | None:
-        """Return the object under `key`, or None."""
+        """Return the object under `key`, None if there is none."""
         entry = self.entries.get(key)
         return entry.object if entry else None
 
     def apply(self, offset: int, change: Change) -> Outcome:
-        """Apply the change that stands at `offset` and return its verdict.
+        """Apply the change recorded at `offset` and return its outcome.
 
         Parameters
         ----------
         offset : int
-            Offset of the change's record; greater than `through`, which the
-            caller moves on.
+            Offset of the change's record; greater than `through`, which the caller
+            must update.
         change : Change
             The change.
 
         Returns
         -------
         Outcome
-            The first verdict for the change's id.
+            Outcome of the first change with the same identifier.
         """
         known = self.outcomes.get(change.change_id)
         if known is not None:
             return known
-        # Counted from 1, so that no object's revision is `ABSENT`.
+        # Revisions start at 1, so that none equals `ABSENT_REVISION`.
         revision = offset + 1
-        outcome = self._judge(revision, change)
+        outcome = self._validate(revision, change)
         if outcome.state is ChangeState.ACCEPTED:
             self._store(revision, change)
         self.outcomes[change.change_id] = outcome
-        if len(self.outcomes) > CHANGES_REMEMBERED:
+        if len(self.outcomes) > MAX_OUTCOMES:
             del self.outcomes[next(iter(self.outcomes))]
         return outcome
 
-    def _judge(self, revision: int, change: Change) -> Outcome:
+    def _validate(self, revision: int, change: Change) -> Outcome:
         key = object_key(change.object)
         entry = self.entries.get(key)
-        found = entry.revision if entry else ABSENT
+        found = entry.revision if entry else ABSENT_REVISION
         if found != change.based_on:
             detail = f"{key} is at revision {found}, not {change.based_on}"
             return Outcome(ChangeState.CONFLICT, revision, detail)
         if change.remove:
-            return self._judge_removal(revision, key)
-        fault = find_fault(change.object) or self._missing_reference(change.object)
+            return self._validate_removal(revision, key)
+        fault = find_invalid_value(change.object) or self._missing_reference(
+            change.object
+        )
         if fault:
             return Outcome(ChangeState.INVALID, revision, fault)
         return Outcome(ChangeState.ACCEPTED, revision)
 
-    def _judge_removal(self, revision: int, key: str) -> Outcome:
+    def _validate_removal(self, revision: int, key: str) -> Outcome:
         if key not in self.entries:
             return Outcome(ChangeState.INVALID, revision, f"{key} does not exist")
         for other, entry in self.entries.items():
@@ -279,12 +311,12 @@
 
 
 def object_key(item: ConfigObject) -> str:
-    """Return the key under which a snapshot holds `item`."""
+    """Return the key of `item` in a snapshot, ``kind/id``."""
     return f"{item.__struct_config__.tag}/{item.id}"
 
 
 def references(item: ConfigObject) -> list[str]:
-    """Return the keys of the objects that `item` needs."""
+    """Return the keys of the objects to which `item` refers."""
     if isinstance(item, Organisation):
         return [f"brand/{item.brand}"] if item.brand else []
     if isinstance(item, ApiKey):
@@ -294,8 +326,8 @@
     return []
 
 
-def find_fault(item: ConfigObject) -> str:
-    """Return what is wrong with the values of `item`; empty if nothing is."""
+def find_invalid_value(item: ConfigObject) -> str:
+    """Return what is invalid in the values of `item`; empty if they are valid."""
     if not item.id or len(item.id) > 128 or "/" in item.id:
         return "an id has 1 to 128 characters and no '/'"
     if isinstance(item, Organisation) and not 0 < item.share <= 1e6:
--- a/carawayfold/state/contents.py
+++ b/carawayfold/state/contents.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one: who asks, for what, with which body."""
+"""Identity of the content of a request: its organisation, method, target and body."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import OrganisationId
 
-#: Bytes of a digest. No caller finds another content with the same one by trying, so
-#: nobody can have another request taken for its own.
+#: Length of a digest in bytes. Long enough that no caller can find another content with
+#: the same digest and so have another request taken for its own.
 DIGEST_SIZE = 16
 
 
 def content_id(
     organisation: OrganisationId, method: bytes, target: bytes, body: bytes
 ) -> ContentId:
-    """Return what names the content of a request, equal for each repeat of it.
+    """Return the digest of a request's content, equal for each retry of the request.
 
-    The organisation is a part of it, so a content of one organisation never equals
-    that of another. A body of 48 KB takes 72 us, so it is worked out only where a
-    repeat has to be recognised.
+    It includes the organisation, so that contents of different organisations differ. A
+    body of 48 KB takes 72 us, so the digest is computed only where a retry must be
+    recognised.
 
     Parameters
     ----------
     organisation : OrganisationId
-        Who asks.
+        Organisation of the caller.
     method, target, body : bytes
-        As the caller sent them; the target holds path and query.
+        As sent by the caller; the target includes path and query.
     """
     digest = blake2b(digest_size=DIGEST_SIZE)
     for field in (organisation.encode(), method, target):
-        # With its length before it, no field can run into the next one.
+        # The length prefix keeps the boundaries of fields unambiguous.
         digest.update(len(field).to_bytes(4, "big"))
         digest.update(field)
     digest.update(body)
--- a/carawayfold/state/first_tokens.py
+++ b/carawayfold/state/first_tokens.py
@@ -1,52 +1,61 @@
-"""How long an engine takes to a first token, fitted to what was seen of it.
+"""Model of an engine's time to the first token, fitted to observed times.
 
-The load it answers: engines and deployments differ by a factor of three in what a
-first token takes besides reading the prompt. A prediction that is too long turns
-requests away that would have been in time, one that is too short sends them too late.
+Engines and deployments differ by a factor of three in the time that a first token takes
+in addition to reading the prompt. A prediction that is too long rejects requests that
+would meet their deadlines; one that is too short sends requests that miss them.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-#: Seconds until the first token of an idle engine, before anything is measured.
+#: Seconds to the first token of an idle engine without prompt, before any observation.
 FIRST_TOKEN = 0.08
-#: Least seconds to a first token that are believed: the way there and back.
-LEAST_FIRST_TOKEN = 0.004
-#: Weight of each measurement against the next one: the last thirty or so count.
-KEPT_WEIGHT = 0.97
-#: Measurements that the figures known before count for, each at two lengths, so that
-#: a few measurements of like prompts can't tilt the line.
+#: Least fitted seconds to a first token: the network round trip.
+MIN_FIRST_TOKEN_DELAY = 0.004
+#: Factor by which the weight of older observations decays with each new one: about the
+#: last thirty count.
+DECAY_FACTOR = 0.97
+#: Weight of the prior in observations, at each of two prompt lengths, so that a few
+#: observations of similar prompts cannot distort the slope.
 PRIOR_WEIGHT = 0.5
-#: Tokens of the longer one of these two.
+#: Length in tokens of the longer of these two prompts; the other one is empty.
 PRIOR_TOKENS = 10_000
-#: Times the predicted wait beyond which a measurement counts as that long: an engine
-#: that stood still for a moment says nothing about its speed.
-OUTLIER = 3.0
-#: Least and most of the speed known before that a fitted speed may be.
-SLOWEST = 0.2
-FASTEST = 4.0
-#: Weight of the newest error in the mean error.
-NEWEST_ERROR = 0.05
+#: Multiple of the prediction to which an observation is limited. An engine that pauses
+#: for a moment gives no information about its speed.
+OUTLIER_FACTOR = 3.0
+#: Least and greatest fitted speed, as a multiple of the configured speed.
+MIN_SPEED_FACTOR = 0.2
+MAX_SPEED_FACTOR = 4.0
+#: Weight of the newest error in the moving average of the error.
+ERROR_SMOOTHING = 0.05
 
 
 @dataclass(slots=True)
 class FirstTokenModel:
-    """Line of the wait for a first token over the tokens read before it.
+    """Linear model of the time to the first token over the tokens read before it.
+
+    Fitted by weighted least squares, where older observations and a prior from the
+    configured speed have less weight.
 
     Parameters
     ----------
     expected_speed : float
-        Tokens that the engine reads a second by the operators' word.
+        Configured tokens that the engine reads a second.
 
     Attributes
     ----------
     speed : float
-        Tokens that it reads a second.
+        Fitted tokens that the engine reads a second.
     first_token : float
-        Seconds that a first token takes besides.
+        Fitted seconds to the first token without any tokens to read.
     error : float
-        Mean error of the predictions, in seconds.
+        Moving average of the absolute error of predictions, in seconds.
+    weight, tokens, waits, squares, products : float
+        Weighted sums over the observations: their number, their tokens, their seconds,
+        the squares of the tokens and the products of tokens and seconds.
+    prior : tuple of float
+        The same sums for the prior.
     """
 
     expected_speed: float
@@ -72,23 +81,31 @@
         )
 
     def predict(self, tokens: float) -> float:
-        """Return the seconds to a first token with `tokens` to be read before it."""
+        """Return the seconds to a first token with `tokens` to read before it."""
         return self.first_token + tokens / self.speed
 
     def note(self, tokens: float, waited: float) -> None:
-        """Take one measurement."""
+        """Update the model with one observation.
+
+        Parameters
+        ----------
+        tokens : float
+            Tokens read before the first token.
+        waited : float
+            Seconds to the first token.
+        """
         predicted = self.predict(tokens)
-        self.error += NEWEST_ERROR * (abs(waited - predicted) - self.error)
-        waited = min(waited, OUTLIER * predicted)
-        self.weight = KEPT_WEIGHT * self.weight + 1
-        self.tokens = KEPT_WEIGHT * self.tokens + tokens
-        self.waits = KEPT_WEIGHT * self.waits + waited
-        self.squares = KEPT_WEIGHT * self.squares + tokens * tokens
-        self.products = KEPT_WEIGHT * self.products + tokens * waited
+        self.error += ERROR_SMOOTHING * (abs(waited - predicted) - self.error)
+        waited = min(waited, OUTLIER_FACTOR * predicted)
+        self.weight = DECAY_FACTOR * self.weight + 1
+        self.tokens = DECAY_FACTOR * self.tokens + tokens
+        self.waits = DECAY_FACTOR * self.waits + waited
+        self.squares = DECAY_FACTOR * self.squares + tokens * tokens
+        self.products = DECAY_FACTOR * self.products + tokens * waited
         self._fit()
 
     def _fit(self) -> None:
-        """Draw the line of least squares through all that counts."""
+        """Fit the line by least squares, with bounds on speed and intercept."""
         weight = self.weight + self.prior[0]
         tokens = self.tokens + self.prior[1]
         waits = self.waits + self.prior[2]
@@ -96,8 +113,8 @@
         products = self.products + self.prior[4]
         spread = weight * squares - tokens * tokens
         slope = (weight * products - tokens * waits) / spread
-        fastest = self.expected_speed * FASTEST
-        slowest = self.expected_speed * SLOWEST
+        fastest = self.expected_speed * MAX_SPEED_FACTOR
+        slowest = self.expected_speed * MIN_SPEED_FACTOR
         self.speed = 1 / min(max(slope, 1 / fastest), 1 / slowest)
-        left = (waits - tokens / self.speed) / weight
-        self.first_token = max(LEAST_FIRST_TOKEN, left)
+        intercept = (waits - tokens / self.speed) / weight
+        self.first_token = max(MIN_FIRST_TOKEN_DELAY, intercept)
--- a/carawayfold/state/forwarded.py
+++ b/carawayfold/state/forwarded.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from carawayfold.state.metrics import LEAST_MS, Metrics
+from carawayfold.state.metrics import MIN_MS, Metrics
 
 if TYPE_CHECKING:
     from carawayfold.errors import ErrorKind
@@ -13,18 +13,18 @@
 
 
 class ForwardMetrics:
-    """What one router measures of the requests that it forwards.
+    """Metrics of the requests that one router forwards.
 
     Attributes
     ----------
     organisations : Metrics
-        Histograms by organisation.
+        Histograms and counters by organisation.
     refusals : Counter
-        Refusals by their kind.
+        Rejected requests by kind.
     barred_grants : Counter
-        Grants given back by what their router did not know of the endpoint.
+        Grants returned unused, by the reason for which the endpoint could not be used.
     repeats, repeats_refused : Counter
-        By service, attempts at a further endpoint, and those that the budget refused.
+        Retries by service, and those that the retry budget rejected.
     """
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
         self.repeats_refused: Counter[ServiceId] = Counter()
 
     def refused(self, kind: ErrorKind) -> None:
-        """Count a refusal."""
+        """Count a rejected request."""
         self.refusals[kind] += 1
 
     def repeated(self, service: ServiceId, taken: bool) -> None:
-        """Count a repeat, or one that the budget had no room for."""
+        """Count a retry, or one that the budget rejected if `taken` is False."""
         counter = self.repeats if taken else self.repeats_refused
         counter[service] += 1
 
@@ -50,11 +50,24 @@
         waited: float,
         first: float | None,
     ) -> None:
-        """Count the end of a request; times in seconds."""
+        """Count the end of a request.
+
+        Parameters
+        ----------
+        organisation : OrganisationId
+            Organisation of the request.
+        end : str
+            How it ended: ``"whole"``, ``"cut"``, ``"caller left"`` or another value for
+            a rejected request.
+        waited : float
+            Seconds from arrival to the grant of a slot.
+        first : float or None
+            Seconds from arrival to the first byte of the answer; None without one.
+        """
         metrics = self.organisations.of(organisation)
-        metrics.wait.record_value(max(LEAST_MS, round(waited * 1000)))
+        metrics.wait.record_value(max(MIN_MS, round(waited * 1000)))
         if first is not None:
-            metrics.first.record_value(max(LEAST_MS, round(first * 1000)))
+            metrics.first.record_value(max(MIN_MS, round(first * 1000)))
         if end == "whole":
             metrics.whole += 1
         elif end in ("cut", "caller left"):
--- a/carawayfold/state/metrics.py
+++ b/carawayfold/state/metrics.py
@@ -1,4 +1,4 @@
-"""Histograms and counters, kept for active organisations only."""
+"""Histograms and counters of the most recently active organisations."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import OrganisationId
 
-#: Range of the histograms in milliseconds, and their significant digits.
-LEAST_MS = 1
-MOST_MS = 600_000
-DIGITS = 2
-#: Organisations with histograms of their own; the least recent one that is above
-#: this is folded into `OTHERS`.
-ORGANISATIONS_KEPT = 64
-#: Name under which organisations without histograms of their own are counted.
+#: Range of the histograms in milliseconds, and their precision in significant digits.
+MIN_MS = 1
+MAX_MS = 600_000
+SIGNIFICANT_DIGITS = 2
+#: Most organisations with separate metrics. Beyond it the least recently active one is
+#: merged into `OTHERS`.
+MAX_ORGANISATIONS = 64
+#: Name under which organisations without separate metrics are counted.
 OTHERS = "(others)"
 
 
 def new_histogram() -> HdrHistogram:
     """Return an empty histogram of milliseconds."""
-    return HdrHistogram(LEAST_MS, MOST_MS, DIGITS)
+    return HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
 
 
 class OrganisationMetrics(msgspec.Struct):
-    """What is measured of one organisation.
+    """Metrics of one organisation.
 
     Attributes
     ----------
@@ -36,7 +36,8 @@
     first : HdrHistogram
         Milliseconds from arrival to the first byte of the answer.
     whole, refused, broken : int
-        Requests by their end.
+        Requests by their end: answered completely, rejected, or broken off, by the
+        endpoint or by the caller.
     service : float
         Service units received.
     """
@@ -49,7 +50,7 @@
     service: float = 0.0
 
     def add(self, other: OrganisationMetrics) -> None:
-        """Fold `other` into this one."""
+        """Merge `other` into these metrics."""
         self.wait.add(other.wait)
         self.first.add(other.first)
         self.whole += other.whole
@@ -66,16 +67,16 @@
         self.organisations: dict[OrganisationId | str, OrganisationMetrics] = {}
 
     def of(self, organisation: OrganisationId) -> OrganisationMetrics:
-        """Return the metrics of `organisation`, now the most recent one."""
+        """Return the metrics of `organisation`, and mark it as the most recent one."""
         metrics = self.organisations.pop(organisation, None)
         if metrics is None:
-            self._make_room()
+            self._fold_oldest()
             metrics = OrganisationMetrics()
         self.organisations[organisation] = metrics
         return metrics
 
-    def _make_room(self) -> None:
-        if len(self.organisations) < ORGANISATIONS_KEPT:
+    def _fold_oldest(self) -> None:
+        if len(self.organisations) < MAX_ORGANISATIONS:
             return
         others = self.organisations.pop(OTHERS, None) or OrganisationMetrics()
         oldest = next(iter(self.organisations))
--- a/carawayfold/state/order.py
+++ b/carawayfold/state/order.py
@@ -1,4 +1,4 @@
-"""Organisations in order of a rank that changes, without sorting them anew."""
+"""Priority queue of organisations whose ranks change."""
 
 from __future__ import annotations
 
@@ -8,17 +8,19 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import OrganisationId
 
-#: Outdated entries beyond which the heap is built anew.
-SLACK = 64
+#: The heap is rebuilt when it has this many entries more than twice the organisations.
+MAX_OUTDATED_ENTRIES = 64
 
 
 class RankOrder:
-    """A heap whose outdated entries are dropped when they come up.
+    """A heap of organisations by rank, with lazy deletion of outdated entries.
 
     Attributes
     ----------
     ranks : dict of OrganisationId to float
-        The organisations and their ranks as last entered.
+        Current rank of each organisation.
+    heap : list of tuple
+        Ranks and organisations, outdated entries included.
     """
 
     def __init__(self) -> None:
@@ -26,21 +28,21 @@
         self.heap: list[tuple[float, OrganisationId]] = []
 
     def enter(self, organisation: OrganisationId, rank: float) -> None:
-        """Enter an organisation, or change its rank."""
+        """Add an organisation, or change its rank."""
         if self.ranks.get(organisation) == rank:
             return
         self.ranks[organisation] = rank
         heapq.heappush(self.heap, (rank, organisation))
-        if len(self.heap) > 2 * len(self.ranks) + SLACK:
+        if len(self.heap) > 2 * len(self.ranks) + MAX_OUTDATED_ENTRIES:
             self.heap = [(rank, name) for name, rank in self.ranks.items()]
             heapq.heapify(self.heap)
 
     def leave(self, organisation: OrganisationId) -> None:
-        """Take an organisation out."""
+        """Remove an organisation."""
         self.ranks.pop(organisation, None)
 
     def first(self) -> OrganisationId | None:
-        """Return the organisation with the least rank, None if there is none."""
+        """Return the organisation with the least rank, None if the heap is empty."""
         while self.heap:
             rank, organisation = self.heap[0]
             if self.ranks.get(organisation) == rank:
--- a/carawayfold/state/positions.py
+++ b/carawayfold/state/positions.py
@@ -1,7 +1,7 @@
-"""Positions in a log that may come back from a copy and give out offsets again.
+"""Positions in a log that may be restored from a copy, which reuses offsets.
 
-A position orders records across such returns: one after the return is later than any
-before it, whatever their offsets.
+A position consists of an era, the number of restorations, and an offset. Any position
+after a restoration is greater than all positions before it, whatever their offsets.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 
 def position(era: int, offset: int) -> Position:
-    """Return where the record at `offset` stands.
+    """Return the position of a record.
 
     Parameters
     ----------
     era : int
-        How often the log has come back from a copy.
+        Number of times that the log has been restored from a copy.
     offset : int
-        Its offset since then.
+        Offset of the record within the era.
     """
     return Position(era << OFFSET_BITS | offset)
 
 
 def era_of(place: Position) -> int:
-    """Return how often the log had come back from a copy."""
+    """Return the era of a position: the restorations of the log before it."""
     return place >> OFFSET_BITS
 
 
 def offset_of(place: Position) -> int:
-    """Return the offset within its era."""
+    """Return the offset of a position within its era."""
     return place & ((1 << OFFSET_BITS) - 1)
--- a/carawayfold/state/prefixes.py
+++ b/carawayfold/state/prefixes.py
@@ -1,4 +1,4 @@
-"""Which prompt parts an engine is likely to keep in memory."""
+"""Model of an engine's prefix cache: the prompt parts that it is likely to hold."""
 
 from __future__ import annotations
 
@@ -13,17 +13,21 @@
 
 
 class KeptPrefixes:
-    """Model of one engine's prefix cache: the least recently used parts go first.
+    """Model of one engine's prefix cache, which evicts the least recently used part.
 
     Parameters
     ----------
     capacity : int
-        Tokens that fit.
+        Most tokens in the cache.
 
     Attributes
     ----------
+    tokens : int
+        Tokens in the cache.
+    parts : OrderedDict
+        Tokens by part, the most recently used part last.
     pending : set of PartId
-        Parts that the engine was sent but is not known to have read yet.
+        Parts that were sent to the engine and are not known to be read yet.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -33,7 +37,10 @@
         self.pending: set[PartId] = set()
 
     def kept(self, prompt: Iterable[Part]) -> int:
-        """Return the tokens at the beginning of `prompt` that need no reading."""
+        """Return the tokens of the longest prefix of `prompt` in the cache.
+
+        Parts that are still to be read are included.
+        """
         tokens = 0
         for part in prompt:
             if part.id not in self.parts:
@@ -42,7 +49,7 @@
         return tokens
 
     def present(self, prompt: Iterable[Part]) -> int:
-        """Return the tokens at the beginning of `prompt` that were read already."""
+        """Return the tokens of the longest prefix of `prompt` that has been read."""
         tokens = 0
         for part in prompt:
             if part.id not in self.parts or part.id in self.pending:
@@ -51,7 +58,7 @@
         return tokens
 
     def send(self, prompt: Iterable[Part]) -> None:
-        """Note that the engine is sent `prompt` and will read it."""
+        """Record that `prompt` is sent to the engine, which will read it."""
         for part in prompt:
             if part.id not in self.parts:
                 self.pending.add(part.id)
@@ -59,7 +66,7 @@
         self._evict()
 
     def read(self, prompt: Iterable[Part]) -> None:
-        """Note that the engine has read `prompt`."""
+        """Record that the engine has read `prompt`."""
         for part in prompt:
             self.pending.discard(part.id)
             self._keep(part)
--- a/carawayfold/state/residency.py
+++ b/carawayfold/state/residency.py
@@ -1,4 +1,4 @@
-"""Where a request may run, by the regions of its route and organisation."""
+"""Data residency: where a request may run, by the regions of route and organisation."""
 
 from __future__ import annotations
 
@@ -19,11 +19,17 @@
 ) -> frozenset[DataCentreId] | None:
     """Return the data centres in which a request may run, None for any.
 
-    Where both its route and its organisation are kept to regions, both bind. A data
-    centre whose region is not known is in none.
+    Where both the route and the organisation are restricted to regions, both
+    restrictions apply. A data centre whose region is not known is excluded by any.
 
     Parameters
     ----------
+    route : Route
+        Route of the request.
+    organisation : OrganisationId
+        Organisation of the request.
+    table : RouteTable
+        Configuration with the regions of organisations.
     regions : mapping
         Region of each data centre.
     """
--- a/carawayfold/state/routes.py
+++ b/carawayfold/state/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the operators' configuration and the organisations behind API keys."""
+"""Routes of the operators' configuration, and the organisations of API keys."""
 
 from __future__ import annotations
 
@@ -13,7 +13,17 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated on a route."""
+    """Kind of a route, which decides whether its requests may be retried.
+
+    Attributes
+    ----------
+    STREAMING
+        Answers are streams of events; retried only if they can be resumed.
+    IDEMPOTENT
+        Requests may run more than once.
+    NON_IDEMPOTENT
+        Requests run at most once.
+    """
 
     STREAMING = "streaming"
     IDEMPOTENT = "idempotent"
@@ -21,35 +31,52 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """One of the services that share a route's requests."""
+    """One of the services among which a route's requests are divided.
+
+    Attributes
+    ----------
+    service : ServiceId
+        The service.
+    weight : float
+        Relative number of requests that it gets.
+    """
 
     service: ServiceId
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of a host and path prefix go, and within which limits.
+    """Services and limits for the requests of one host and path prefix.
 
     Attributes
     ----------
+    id : RouteId
+        Name of the route.
+    host : str
+        Host name to match.
     prefix : bytes
-        Beginning of the paths it takes.
+        Path prefix to match.
+    kind : RouteKind
+        Whether its requests may be retried.
+    services : tuple of WeightedService
+        Services that run its requests.
     attempts : int
-        Most endpoints that one request may be sent to.
+        Most endpoints to which one request may be sent.
     timeout : float
         Longest time in seconds that an answer may take.
     objective : float
-        Seconds to the answer, of a stream to its first event, that callers want.
+        Latency objective in seconds: time to the answer, or to the first event of a
+        stream.
     priority : int
-        Rank; 0 goes first.
+        Priority; 0 is the highest.
     anonymous : bool
-        Whether it needs no key.
+        Whether requests need no API key.
     resumable : bool
-        Whether a stream may go on at another endpoint.
+        Whether a stream may be resumed at another endpoint.
     pause : float
-        Longest wanted pause between events of a stream, in seconds.
+        Objective for the longest pause between events of a stream, in seconds.
     regions : tuple of RegionId
-        Those in which its requests may run; empty for any.
+        Regions in which its requests may run; empty for any.
     """
 
     id: RouteId
@@ -68,13 +95,19 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request may be run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.IDEMPOTENT
 
     def choose_service(self, draw: float) -> ServiceId:
-        """Return a service by weight; `draw` is from 0 to below 1."""
+        """Return a service chosen by weight.
+
+        Parameters
+        ----------
+        draw : float
+            Random number from 0 to below 1.
+        """
         total = sum(item.weight for item in self.services)
         left = draw * total
         for item in self.services:
@@ -85,18 +118,20 @@
 
 
 class ServiceConfig(msgspec.Struct, frozen=True):
-    """What the operators say of a service.
+    """Configuration of a service.
 
     Attributes
     ----------
+    id : ServiceId
+        Name of the service.
     health_path : str
         Path of its health check.
     connections : int
-        Most connections that an endpoint takes from the whole fleet.
+        Most connections of the whole fleet to one endpoint.
     memory_tokens : int
-        Tokens that a model engine keeps in memory; 0 for applications.
+        Tokens that a model engine keeps in its prefix cache; 0 for applications.
     warm_up_rate : float
-        Requests a second that an endpoint tolerates while it warms up; 0 where its
+        Most requests a second that an endpoint gets while it warms up; 0 if its
         endpoints need no warm-up.
     """
 
@@ -113,7 +148,17 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Operators' limits on what callers send; times in seconds."""
+    """Limits on the requests of callers.
+
+    Attributes
+    ----------
+    head_bytes, body_bytes : int
+        Most bytes of the head and the body of a request.
+    head_timeout : float
+        Longest time in seconds to receive the head of a request.
+    idle_timeout : float
+        Seconds after which an idle connection is closed.
+    """
 
     head_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -127,12 +172,23 @@
     Attributes
     ----------
     version : int
-        Grows with each change.
+        Version number, which grows with each change.
+    routes : tuple of Route
+        All routes.
+    services : dict
+        Services by name.
+    organisations : dict
+        Organisations by API key.
+    priorities : dict
+        Priorities by organisation.
+    limits : CallerLimits
+        Limits on the requests of callers.
     throughput : float
-        Tokens a second that the model engines handle together, a generated token
-        counted twice; 0 where the operators state none.
+        Tokens a second that all model engines together can process, where a generated
+        token counts twice; 0 if not configured.
     regions : dict
-        Regions in which requests of an organisation may run, where they are limited.
+        Regions in which requests of an organisation may run, for restricted
+        organisations only.
     """
 
     version: int
@@ -146,16 +202,16 @@
 
 
 class InForce(msgspec.Struct, frozen=True):
-    """How the configuration in force came to be so.
+    """Version and origin of the active configuration.
 
     Attributes
     ----------
     version : int
         Its version.
     source : str
-        Who told it: the store or a peer.
+        The store or the peer from which it was received.
     since : float
-        Loop time at which it was put in force.
+        Loop time in seconds at which it became active.
     """
 
     version: int
@@ -164,12 +220,12 @@
 
 
 class RouteIndex:
-    """Finds the route of a request in one version of the configuration.
+    """Index to find the route of a request in one version of the configuration.
 
     Parameters
     ----------
     table : RouteTable
-        The version.
+        Version of the configuration.
     """
 
     def __init__(self, table: RouteTable) -> None:
@@ -181,7 +237,7 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, path: bytes) -> Route | None:
-        """Return the route with the longest prefix of `path`, if any."""
+        """Return the route with the longest prefix of `path`, None if none matches."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/carawayfold/state/service_rows.py
+++ b/carawayfold/state/service_rows.py
@@ -1,4 +1,4 @@
-"""Service measured by this router and by its peers, as cumulative rows."""
+"""Service received per organisation at a router and its peers, as cumulative rows."""
 
 from __future__ import annotations
 
@@ -11,25 +11,31 @@
 
     from carawayfold.state.ids import OrganisationId, ServiceId
 
-#: Seconds after which an idle row is dropped by its owner. One that comes up again
-#: starts from nothing.
-OWN_LIFETIME = 15.0
-#: Seconds after which peers drop it. Longer, so that a row still kept by its owner
-#: is never taken for one that starts from nothing.
+#: Seconds after which a router drops its own idle row. A later row of the same key
+#: starts from zero.
+LOCAL_ROW_TIMEOUT = 15.0
+#: Seconds after which a peer drops the row. Longer, so that a row still kept by its
+#: owner is never taken for one that starts from zero.
 SEEN_LIFETIME = 30.0
 
 
 class OwnRow(msgspec.Struct):
-    """What this router has measured for one organisation at one service.
+    """Service of one organisation at one service, as counted by this router.
 
     Attributes
     ----------
+    service : float
+        Service units received.
+    requests : int
+        Requests that ended.
+    in_flight : int
+        Requests in flight.
     version : int
-        Grows with each change, over all rows of the router.
+        Version of the last change, which grows with each change of any row.
     changed : float
-        When it last changed, in monotonic seconds.
+        Monotonic seconds of the last change.
     born : int
-        Version at which it began.
+        Version at which the row was created.
     """
 
     service: float = 0.0
@@ -41,19 +47,19 @@
 
 
 class RowCursor(msgspec.Struct):
-    """How far a reader has come.
+    """Progress of a reader of rows.
 
     Attributes
     ----------
     version : int
-        Version of the last row that it was given.
+        Version of the newest row that was sent to it.
     """
 
     version: int = 0
 
 
 class OwnRows:
-    """Rows of this router, ordered by their last change.
+    """Rows of this router, in order of their last change.
 
     Parameters
     ----------
@@ -63,7 +69,7 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        #: Rows by service and organisation; the last changed one is last.
+        #: Rows by service and organisation, the most recently changed one last.
         self.rows: dict[tuple[ServiceId, OrganisationId], OwnRow] = {}
         self.version = 0
 
@@ -75,7 +81,21 @@
         received: float = 0.0,
         requests: int = 0,
     ) -> None:
-        """Add to a row."""
+        """Add to the row of a service and an organisation.
+
+        Parameters
+        ----------
+        service : ServiceId
+            The service.
+        organisation : OrganisationId
+            The organisation.
+        in_flight : int
+            Change of the requests in flight.
+        received : float
+            Service units received.
+        requests : int
+            Requests that ended.
+        """
         key = (service, organisation)
         row = self.rows.pop(key, None) or OwnRow(born=self.version + 1)
         row.in_flight += in_flight
@@ -87,8 +107,8 @@
         self.rows[key] = row
 
     def expire(self) -> None:
-        """Drop rows that have been idle for `OWN_LIFETIME`."""
-        oldest = self.clock() - OWN_LIFETIME
+        """Drop rows that have been idle for `LOCAL_ROW_TIMEOUT`."""
+        oldest = self.clock() - LOCAL_ROW_TIMEOUT
         for key, row in list(self.rows.items()):
             if row.changed > oldest:
                 return
@@ -96,7 +116,7 @@
                 del self.rows[key]
 
     def since(self, version: int) -> Iterator[tuple[ServiceId, OrganisationId, OwnRow]]:
-        """Yield the rows changed after `version`, the newest first."""
+        """Yield the rows changed after `version`, the latest change first."""
         for (service, organisation), row in reversed(self.rows.items()):
             if row.version <= version:
                 return
@@ -104,12 +124,20 @@
 
 
 class SeenRow(msgspec.Struct):
-    """A peer's row as last heard.
+    """A row as last received from a peer.
 
     Attributes
     ----------
+    service : float
+        Service units received.
+    requests : int
+        Requests that ended.
+    in_flight : int
+        Requests in flight.
     heard : float
-        When it last changed, in monotonic seconds.
+        Monotonic seconds at which the last change was received.
+    born : int
+        Version of the peer at which the row was created.
     """
 
     service: float = 0.0
--- a/carawayfold/state/view.py
+++ b/carawayfold/state/view.py
@@ -1,4 +1,4 @@
-"""Look-ups over the configuration in force, rebuilt when it changes."""
+"""Look-ups in the active configuration, rebuilt when it changes."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 if TYPE_CHECKING:
     from carawayfold.state.configuration import Snapshot
 
-#: Share of an organisation that the configuration no longer knows.
+#: Share of an organisation that is no longer in the configuration.
 DEFAULT_SHARE = 1.0
 
 
 class ConfigView:
-    """Typed look-ups over one snapshot.
+    """Typed look-ups in one snapshot.
 
     Attributes
     ----------
+    snapshot : Snapshot
+        The snapshot.
     services : dict of str to Service
         Services by name.
     endpoints : dict of str to Endpoint
@@ -32,7 +34,7 @@
         self.refresh()
 
     def refresh(self, snapshot: Snapshot | None = None) -> None:
-        """Take the present state of the snapshot, or of another one."""
+        """Rebuild the look-ups, from another snapshot if one is given."""
         if snapshot is not None:
             self.snapshot = snapshot
         items = [entry.object for entry in self.snapshot.entries.values()]
@@ -45,12 +47,12 @@
         return item.share if isinstance(item, Organisation) else DEFAULT_SHARE
 
     def organisation_of(self, api_key: str) -> OrganisationId:
-        """Return the organisation that `api_key` names.
+        """Return the organisation of an API key.
 
         Raises
         ------
         Refusal
-            ``unknown-key``.
+            ``unknown-key`` if the configuration has no such key.
         """
         item = self.snapshot.find(f"key/{hash_key(api_key)}")
         if not isinstance(item, ApiKey):
@@ -63,7 +65,7 @@
         Raises
         ------
         Refusal
-            ``unknown-service``.
+            ``unknown-service`` if the configuration has no such service.
         """
         service = self.services.get(name)
         if service is None:
@@ -72,5 +74,5 @@
 
 
 def hash_key(api_key: str) -> str:
-    """Return the hash under which an API key is kept."""
+    """Return the hexadecimal SHA-256 by which the configuration stores an API key."""
     return hashlib.sha256(api_key.encode("utf-8", "replace")).hexdigest()
--- a/carawayfold/state/well_runs.py
+++ b/carawayfold/state/well_runs.py
@@ -1,7 +1,7 @@
-"""Contents that ran without harm.
+"""Contents that completed a run without a crash of the endpoint.
 
-The load it answers: contents that callers ask for again and again are there at many
-crashes by chance. They run well in between, at any router, and a harmful one does not.
+A content that callers request often is in flight at many crashes by coincidence. It
+also completes runs in between, at any router, which a harmful content does not.
 """
 
 from __future__ import annotations
@@ -14,42 +14,53 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import ContentId
 
-#: Seconds after the loss of an endpoint for which each run is noted: the time between
-#: two losses that one harmful content brings about is far shorter.
-WATCHED_FOR = 120.0
-#: Bytes of a body up to which runs are noted at any time. What callers ask for again
-#: and again is short, and its digest takes 8 us of the 1,500 that a request costs; a
-#: long one would take 72 on days on which nothing ends.
-SHORT_BODY = 4096
-#: Seconds for which a run speaks for its content: as long as it may take a caller to
-#: ask for the same again.
+#: Seconds after the loss of an endpoint for which each completed run is recorded. The
+#: time between two losses caused by one harmful content is far shorter.
+WATCH_DURATION = 120.0
+#: Bytes of a body up to which completed runs are recorded at any time. Contents that
+#: are requested often are short, and their digest takes 8 us of the 1,500 us that a
+#: request costs. That of a long body would take 72 us even while no endpoint is lost.
+MAX_SHORT_BODY_BYTES = 4096
+#: Seconds for which a completed run is evidence that its content is harmless: the time
+#: within which a caller may request the same content again.
 SPEAKS_FOR = 120.0
-#: Runs remembered: 0.4 MB.
-RUNS_KEPT = 2000
+#: Most contents with a recorded run: 0.4 MB of memory.
+MAX_RUNS = 2000
 
 
 class WellRuns(msgspec.Struct):
-    """When each content last ran well at this router."""
+    """Last completed run of each content at this router.
 
-    watched_until: float = float("-inf")
+    Attributes
+    ----------
+    watch_until : float
+        Monotonic seconds until which every completed run is recorded.
+    ended : OrderedDict
+        Monotonic seconds of the last completed run, by content.
+    """
+
+    watch_until: float = float("-inf")
     ended: OrderedDict[ContentId, float] = msgspec.field(default_factory=OrderedDict)
 
     def watch(self, now: float) -> None:
-        """Note that an endpoint was lost."""
-        self.watched_until = now + WATCHED_FOR
+        """Record every completed run for `WATCH_DURATION`, as an endpoint was lost."""
+        self.watch_until = now + WATCH_DURATION
 
     def wants(self, body: bytes, now: float) -> bool:
-        """Return whether a run is worth noting."""
-        return len(body) <= SHORT_BODY or now < self.watched_until
+        """Return whether to record a completed run of a request with this body."""
+        return len(body) <= MAX_SHORT_BODY_BYTES or now < self.watch_until
 
     def note(self, content: ContentId, now: float) -> None:
-        """Note that a content has run well."""
+        """Record that a content has completed a run."""
         self.ended[content] = now
         self.ended.move_to_end(content)
-        if len(self.ended) > RUNS_KEPT:
+        if len(self.ended) > MAX_RUNS:
             self.ended.popitem(last=False)
 
     def last(self, content: ContentId, now: float) -> float | None:
-        """Return when a content last ran well, if that still speaks for it."""
+        """Return when a content last completed a run, in monotonic seconds.
+
+        None if that is longer ago than `SUCCESS_EVIDENCE_DURATION`, or not known.
+        """
         at = self.ended.get(content)
         return at if at is not None and now - at < SPEAKS_FOR else None
--- a/tests/state/test_service_rows.py
+++ b/tests/state/test_service_rows.py
@@ -7,7 +7,7 @@
 from carawayfold.protocol.names import NameTable
 from carawayfold.state.ids import OrganisationId, RouterId, ServiceId
 from carawayfold.state.service_rows import (
-    OWN_LIFETIME,
+    LOCAL_ROW_TIMEOUT,
     SEEN_LIFETIME,
     OwnRows,
     RowCursor,
@@ -83,7 +83,7 @@
     pair.send(first=True)
     pair.serve(100)
     pair.send()
-    pair.now += OWN_LIFETIME + 1
+    pair.now += LOCAL_ROW_TIMEOUT + 1
     pair.tidy()
     assert not pair.rows.rows
     pair.serve(30)
