--- a/tests/state/__init__.py
+++ b/tests/state/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of state."""
+"""Tests of the in-memory state of a router."""
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration."""
+"""Changes to the configuration, applied in the order of the log."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     assert snapshot.find("organisation/alder").share == 2.0
 
 
-def test_object_of_the_first_record_can_not_be_created_again():
+def test_object_of_the_first_record_cannot_be_created_again():
     snapshot = new_snapshot()
     snapshot.apply(0, organisation_change("alder"))
     again = snapshot.apply(1, organisation_change("alder"))
     assert again.state is ChangeState.CONFLICT
 
 
-def test_repeated_change_id_gets_the_first_verdict():
+def test_repeated_change_id_gets_the_first_outcome():
     snapshot = new_snapshot()
     change = organisation_change("alder", change_id="once")
     first = snapshot.apply(5, change)
@@ -74,7 +74,7 @@
 
 
 @given(st.lists(changes, max_size=30), st.integers(0, 30))
-def test_same_prefix_gives_the_same_state_through_a_copy(items, cut):
+def test_same_prefix_gives_the_same_state_after_a_copy(items, cut):
     whole, copied = new_snapshot(), new_snapshot()
     for offset, change in enumerate(items):
         whole.apply(offset + 1, change)
--- a/tests/state/test_contents.py
+++ b/tests/state/test_contents.py
@@ -1,4 +1,4 @@
-"""Which requests count as the same one."""
+"""Digests of request contents."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 SMALL = st.binary(max_size=6)
 
 
-def test_a_repeat_has_the_same_content():
+def test_retry_has_the_same_content():
     first = content_id("alder", b"POST", b"/a/?b=1", b"body")
     assert first == content_id("alder", b"POST", b"/a/?b=1", b"body")
 
@@ -23,5 +23,5 @@
     assert (content_id(*one) == content_id(*other)) == (one == other)
 
 
-def test_bytes_that_move_between_fields_make_another_content():
+def test_moving_bytes_between_fields_changes_the_content():
     assert content_id("a", b"POST", b"/x", b"") != content_id("a", b"POST", b"/", b"x")
--- a/tests/state/test_endpoints.py
+++ b/tests/state/test_endpoints.py
@@ -10,21 +10,21 @@
     return sorted(item.id for item in table.usable(service))
 
 
-def test_a_leaving_endpoint_gets_nothing():
+def test_leaving_endpoint_is_not_usable():
     table = EndpointTable()
     table.put(endpoint("a"))
     table.put(endpoint("b", leaving=True))
     assert names(table) == ["a"]
 
 
-def test_an_entry_that_vanishes_takes_its_endpoint_along():
+def test_removed_entry_removes_its_endpoint():
     table = EndpointTable()
     table.put(endpoint("a"))
     assert table.remove("a", 5.0)
     assert names(table) == []
 
 
-def test_an_entry_that_lapsed_in_an_outage_may_come_back():
+def test_endpoint_stays_usable_while_its_entry_lapsed_in_an_outage():
     table = EndpointTable()
     table.put(endpoint("a"))
     table.note_outage(5.0)
@@ -35,7 +35,7 @@
     assert names(table) == ["a"]
 
 
-def test_an_entry_that_does_not_come_back_is_gone():
+def test_lapsed_endpoint_is_dropped_unless_it_registers_again():
     table = EndpointTable()
     table.put(endpoint("a"))
     table.note_outage(5.0)
@@ -44,8 +44,11 @@
     assert names(table) == []
 
 
-def test_an_entry_that_vanishes_after_an_outage_has_left():
-    """Hunted day of a store that refused one router until 1.2 s before a leave."""
+def test_entry_removed_after_an_outage_removes_its_endpoint():
+    """Guards against using a stopped endpoint after an outage of the store.
+
+    The store rejected one router until 1.2 s before the endpoint stopped.
+    """
     table = EndpointTable()
     table.put(endpoint("a"))
     table.note_outage(24.64)
@@ -53,14 +56,14 @@
     assert names(table) == []
 
 
-def test_a_leaving_endpoint_does_not_lapse_but_goes():
+def test_leaving_endpoint_is_removed_at_once_in_an_outage():
     table = EndpointTable()
     table.put(endpoint("a", leaving=True))
     table.note_outage(5.0)
     assert table.remove("a", 5.5)
 
 
-def test_the_kept_heartbeat_changes_nothing():
+def test_unchanged_entry_in_a_list_changes_nothing():
     table = EndpointTable()
     assert table.put(endpoint("a", warm_up=3.0, warm_at=3.0))
     assert not table.put(endpoint("a", warm_up=3.0, warm_at=4.0), 1.0, listed=True)
--- a/tests/state/test_evacuations.py
+++ b/tests/state/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated data centres, whoever told of them and in whatever order."""
+"""Evacuated data centres, by records of the store and states of peers in any order."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def evacuated(*names, after=10):
-    """Return what a router knows that has listed these."""
+    """Return the table of a router that has applied a complete list of `names`."""
     table = EvacuationTable()
     table.listed(names, after, 0.0)
     return table
 
 
-def test_a_data_centre_is_evacuated_until_that_is_taken_back():
+def test_data_centre_is_evacuated_until_an_operator_ends_it():
     table = evacuated()
     assert table.read({"north": True}, 11)
     assert table.active == {"north"}
@@ -27,14 +27,14 @@
     assert table.active == set()
 
 
-def test_nothing_is_known_before_somebody_told():
+def test_evacuations_are_not_known_before_a_complete_list():
     table = EvacuationTable()
     assert not table.known
     assert not table.told(EvacuationSnapshot(0, []), 0.0)
     assert table.known
 
 
-def test_what_a_peer_told_from_further_on_is_not_undone_by_older_records():
+def test_older_records_do_not_change_the_newer_state_of_a_peer():
     table = evacuated()
     table.told(EvacuationSnapshot(15, ["north"]), 0.0)
     assert not table.read({"north": False}, 13)
@@ -42,25 +42,25 @@
     assert table.active == {"north"}
 
 
-def test_a_peer_that_knows_no_later_change_tells_nothing():
+def test_state_of_a_peer_without_later_changes_is_ignored():
     table = evacuated("north")
     assert not table.told(EvacuationSnapshot(10, []), 0.0)
     assert table.active == {"north"}
 
 
-def test_records_that_change_nothing_leave_its_position():
+def test_records_without_effect_do_not_move_the_position():
     table = evacuated("north")
     assert not table.read({}, 20)
     assert table.changed_at == 10
 
 
-def test_a_list_of_the_same_store_ends_what_it_lacks():
+def test_list_of_the_same_era_ends_evacuations_that_it_lacks():
     table = evacuated("north")
     assert table.listed([], 30, 0.0)
     assert table.active == set()
 
 
-def test_a_store_from_a_copy_ends_nothing_by_lacking_it():
+def test_list_of_a_restored_store_keeps_evacuations_for_a_time():
     table = evacuated("north", "south", after=position(0, 10))
     table.listed(["south"], position(1, 8), 100.0)
     assert table.active == {"north", "south"}
@@ -69,7 +69,7 @@
     assert table.active == {"south"}
 
 
-def test_the_word_of_a_store_from_a_copy_ends_what_it_lacked():
+def test_record_of_a_restored_store_ends_an_unconfirmed_evacuation():
     table = evacuated("north", after=position(0, 10))
     table.listed([], position(1, 8), 100.0)
     assert table.read({"north": False}, position(1, 9))
@@ -77,7 +77,7 @@
     assert not table.expire(200.0)
 
 
-def test_a_peer_hears_for_how_long_an_unconfirmed_one_is_kept():
+def test_peer_receives_the_remaining_time_of_unconfirmed_evacuations():
     table = evacuated("north", after=position(0, 10))
     table.listed([], position(1, 8), 100.0)
     table.read({"south": True}, position(1, 9))
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("again", [False, True])
-def test_a_second_return_from_a_copy_keeps_the_first_end(again):
+def test_second_restoration_does_not_extend_an_unconfirmed_evacuation(again):
     table = evacuated("north", after=position(0, 10))
     table.listed([], position(1, 8), 100.0)
     if again:
--- a/tests/state/test_first_tokens.py
+++ b/tests/state/test_first_tokens.py
@@ -1,4 +1,4 @@
-"""Fitted waits for first tokens."""
+"""Fitted model of the time to the first token."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
         model.note(tokens, first_token + tokens / speed + draw.uniform(0, noise))
 
 
-def test_before_any_measurement_the_operators_word_holds():
+def test_before_any_observation_the_configured_speed_applies():
     model = FirstTokenModel(100_000.0)
     assert model.predict(10_000) == pytest.approx(FIRST_TOKEN + 0.1)
 
 
 @pytest.mark.parametrize("speed", [40_000, 92_000, 157_000])
 @pytest.mark.parametrize("first_token", [0.02, 0.06, 0.15])
-def test_engines_of_unlike_speeds_are_told_apart(speed, first_token):
+def test_model_fits_engines_of_different_speeds(speed, first_token):
     model = FirstTokenModel(100_000.0)
     play(model, speed, first_token)
     for tokens in (500, 5000, 20_000):
@@ -31,14 +31,14 @@
         assert model.predict(tokens) == pytest.approx(true, rel=0.15)
 
 
-def test_an_engine_that_turns_slow_is_noticed():
+def test_model_follows_an_engine_that_becomes_slower():
     model = FirstTokenModel(100_000.0)
     play(model, 100_000, 0.03)
     play(model, 30_000, 0.1, count=100, seed=2)
     assert model.predict(10_000) == pytest.approx(0.1 + 10_000 / 30_000, rel=0.2)
 
 
-def test_a_moment_of_silence_tells_nothing_about_the_speed():
+def test_single_pause_hardly_changes_the_prediction():
     model = FirstTokenModel(100_000.0)
     play(model, 100_000, 0.03)
     before = model.predict(5000)
@@ -46,7 +46,7 @@
     assert model.predict(5000) < 1.2 * before
 
 
-def test_like_prompts_cannot_tilt_the_line():
+def test_similar_prompts_do_not_distort_the_slope():
     model = FirstTokenModel(100_000.0)
     draw = random.Random(3)
     for _ in range(300):
@@ -55,7 +55,7 @@
     assert model.predict(2000) == pytest.approx(0.06, rel=0.3)
 
 
-def test_the_mean_error_is_told():
+def test_mean_error_is_positive_with_noise():
     model = FirstTokenModel(100_000.0)
     play(model, 100_000, 0.03, noise=0.02)
     assert 0.001 < model.error < 0.02
--- a/tests/state/test_patience.py
+++ b/tests/state/test_patience.py
@@ -1,4 +1,4 @@
-"""How long callers have waited already."""
+"""Estimates of how long callers have waited already."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from carawayfold.state.patience import Patience
 
 
-def test_a_caller_that_comes_back_has_waited():
-    patience = Patience()
+def test_caller_that_retries_has_waited():
+    estimator = Patience()
     for _ in range(20):
-        assert patience.waited(15.0) == 0.0
-    assert patience.waited(13.4) == pytest.approx(1.6)
-    assert patience.waited(15.0) == 0.0
+        assert estimator.waited(15.0) == 0.0
+    assert estimator.waited(13.4) == pytest.approx(1.6)
+    assert estimator.waited(15.0) == 0.0
 
 
-def test_callers_with_different_times_are_told_apart():
-    patience = Patience()
+def test_callers_with_different_initial_timeouts_are_distinguished():
+    estimator = Patience()
     for _ in range(20):
-        patience.waited(15.0)
-        patience.waited(3.0)
-    assert patience.waited(3.0) == 0.0
-    assert patience.waited(2.5) == pytest.approx(0.5)
+        estimator.waited(15.0)
+        estimator.waited(3.0)
+    assert estimator.waited(3.0) == 0.0
+    assert estimator.waited(2.5) == pytest.approx(0.5)
 
 
-def test_what_is_not_known_counts_as_fresh():
+def test_unknown_initial_timeout_counts_as_no_wait():
     assert Patience().waited(2.345) == 0.0
 
 
-def test_only_bounded_times_are_remembered():
-    patience = Patience()
+def test_number_of_remembered_values_is_limited():
+    estimator = Patience()
     for number in range(5000):
-        patience.waited(15.0 if number % 2 else number / 1000)
-    assert len(patience.counts) <= 401
-    assert patience.waited(14.9995) == pytest.approx(0.0, abs=0.001)
+        estimator.waited(15.0 if number % 2 else number / 1000)
+    assert len(estimator.counts) <= 401
+    assert estimator.waited(14.9995) == pytest.approx(0.0, abs=0.001)
--- a/tests/state/test_prefixes.py
+++ b/tests/state/test_prefixes.py
@@ -17,7 +17,7 @@
     assert kept.kept(parts("x", "b")) == 0
 
 
-def test_the_least_recently_used_part_goes_first():
+def test_least_recently_used_part_is_evicted_first():
     kept = KeptPrefixes(300)
     kept.read(parts("a"))
     kept.read(parts("b"))
--- a/tests/state/test_pressure.py
+++ b/tests/state/test_pressure.py
@@ -1,4 +1,4 @@
-"""A loop that is late for a while is overload; a burst or a pause is not."""
+"""Overload detection: a lasting delay counts, a burst or a pause does not."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
     PressureGauge,
 )
 
+#: Seconds between two samples of a loop without delay.
 STEP = 0.05
 
 
@@ -24,7 +25,7 @@
     return now
 
 
-def test_a_loop_in_time_refuses_nothing():
+def test_loop_below_the_target_delay_rejects_nothing():
     gauge = PressureGauge()
     now = feed(gauge, [TARGET_DELAY / 2] * 50)
     assert gauge.part == 0
@@ -35,36 +36,36 @@
 @pytest.mark.parametrize(
     "delay", [TARGET_DELAY * 1.1, TARGET_DELAY * MAX_INCREASE_FACTOR, 1.0]
 )
-def test_a_delay_that_stays_is_refused_more_and_more(delay):
+def test_lasting_delay_increases_the_rejected_fraction(delay):
     gauge = PressureGauge()
-    parts = []
+    fractions = []
     for _ in range(30):
         feed(gauge, [delay])
-        parts.append(gauge.part)
-    assert parts == sorted(parts)
-    assert parts[-1] == MAX_REJECTED_FRACTION
+        fractions.append(gauge.part)
+    assert fractions == sorted(fractions)
+    assert fractions[-1] == MAX_REJECTED_FRACTION
 
 
-def test_requests_are_refused_evenly():
+def test_rejections_are_evenly_spaced():
     gauge = PressureGauge(part=0.25)
-    refused = [gauge.refuses() for _ in range(12)]
-    assert refused == [False, False, False, True] * 3
+    rejected = [gauge.refuses() for _ in range(12)]
+    assert rejected == [False, False, False, True] * 3
 
 
-def test_single_late_samples_between_which_the_loop_catches_up_are_none():
+def test_single_late_samples_are_not_overload():
     gauge = PressureGauge()
     feed(gauge, [0.2, 0.001] * 10)
     assert gauge.part == 0
 
 
-def test_a_process_that_stood_still_is_not_overloaded():
+def test_process_paused_as_a_whole_is_not_overloaded():
     gauge = PressureGauge()
     now = feed(gauge, [0.001] * 10)
     gauge.note(4.0, now + 4.0)
     assert gauge.part == 0
 
 
-def test_calm_returns_only_after_a_while():
+def test_process_stays_busy_for_a_time_after_the_last_rejection():
     gauge = PressureGauge()
     now = feed(gauge, [1.0] * 10)
     assert gauge.is_busy(now)
--- a/tests/state/test_quarantine.py
+++ b/tests/state/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Verdicts on contents: the newest one holds, wherever it comes from."""
+"""Verdicts on contents: the newest one applies, in whatever order they are received."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_the_order_in_which_verdicts_come_does_not_matter(verdicts, draw):
+def test_order_in_which_verdicts_are_received_does_not_matter(verdicts, draw):
     mixed = list(verdicts)
     draw.shuffle(mixed)
     one, other = known(verdicts), known([*mixed, *verdicts])
@@ -48,7 +48,7 @@
     assert one.organisations == other.organisations
 
 
-def test_what_is_refused_is_so_for_its_time_and_known_longer():
+def test_content_is_remembered_after_its_rejection_ends():
     made = known([entry()])
     assert made.held_for("c-1", 40.0) == 60.0
     assert made.held_for("c-1", 100.0) == 0.0
@@ -59,20 +59,20 @@
     assert made.checksum == 0
 
 
-def test_what_is_cleared_or_suspected_is_not_refused():
+def test_cleared_and_suspected_contents_are_not_rejected():
     for level in (Level.CLEARED, Level.SUSPECTED):
         assert known([entry(level=level)]).held_for("c-1", 0.0) == 0.0
 
 
-def test_suspected_are_those_that_count_against_a_content_and_do_not_refuse_it():
-    # The gauge took contents for suspected that had run well since, or that an operator
-    # had lifted.
+def test_suspected_lists_contents_neither_cleared_nor_rejected():
+    # Guards against a gauge that counts contents as suspected although they completed a
+    # run since, or an operator lifted their quarantine.
     levels = {level.value: entry(level.value, level) for level in Level}
     made = known(levels.values())
-    refused = {"rested", "quarantined"}
-    assert {item.content for item in made.held(0.0)} == refused
+    rejected = {"rested", "quarantined"}
+    assert {item.content for item in made.held(0.0)} == rejected
     assert {item.content for item in made.suspected(0.0)} == {"suspected"}
-    assert {item.content for item in made.suspected(100.0)} == {"suspected", *refused}
+    assert {item.content for item in made.suspected(100.0)} == {"suspected", *rejected}
 
 
 def test_an_older_verdict_does_not_replace_a_newer_one():
@@ -81,7 +81,7 @@
     assert made.held_for("c-1", 0.0) == 0.0
 
 
-def test_the_bounds_hold_at_the_cost_of_whoever_has_most():
+def test_limits_drop_verdicts_of_the_organisation_with_most():
     made = known([entry("first", organisation="birch")])
     for number in range(2 * MAX_ENTRIES_PER_ORGANISATION):
         made.put(entry(f"a-{number}", stamp=number))
--- a/tests/state/test_queue.py
+++ b/tests/state/test_queue.py
@@ -1,4 +1,4 @@
-"""Requests waiting in one router."""
+"""Queue of the requests that wait in one router."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.builders import waiter
 
 
-def test_urgent_goes_first_but_normal_still_completes():
+def test_urgent_requests_go_first_but_do_not_starve_normal_ones():
     async def scenario():
         queue = ServiceQueue(100, 100)
         for _ in range(20):
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(("limit", "total"), [(2, 100), (100, 2)])
-def test_bounds(limit, total):
+def test_full_queue_rejects_requests(limit, total):
     async def scenario():
         queue = ServiceQueue(limit, total)
         queue.push(waiter())
@@ -39,7 +39,7 @@
     assert asyncio.run(scenario()).kind is ErrorKind.QUEUE_FULL
 
 
-def test_request_is_not_sent_again_where_it_failed():
+def test_request_is_not_sent_to_an_endpoint_at_which_it_failed():
     async def scenario():
         queue = ServiceQueue(10, 10)
         queue.push(waiter(avoid={"bad"}))
--- a/tests/state/test_repeats_of_a_fleet.py
+++ b/tests/state/test_repeats_of_a_fleet.py
@@ -1,4 +1,4 @@
-"""The sum of all routers' repeats against the fleet's budget."""
+"""Retries of all routers together against the retry budget of the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from carawayfold.state.budget import BudgetBounds
 from tests.simulated_repeats import SimulatedRepeats
 
-#: Of the two smallest deployments: routers, and repeats that the fleet has besides.
+#: Number of routers, and extra retries of the fleet, in the two smallest deployments.
 FLEETS = [(6, 52.0), (9, 58.0)]
 
 
@@ -20,22 +20,25 @@
 
 
 @pytest.mark.parametrize(("routers", "extra"), FLEETS)
-def test_a_fleet_that_nothing_happens_to_stays_within_its_budget(routers, extra):
+def test_fleet_without_changes_stays_within_its_budget(routers, extra):
     fleet = played(routers, extra)
     assert fleet.repeats
     assert fleet.most_over() <= 0
 
 
 @pytest.mark.parametrize("times", [1, 2, 4])
-def test_routers_that_start_again_dont_get_a_second_part(times):
+def test_restarted_routers_get_no_second_share_of_the_extra_retries(times):
     restarts = [3.0 + 1.5 * number for number in range(times)]
     for routers, extra in FLEETS:
         assert played(routers, extra, restarts=restarts).most_over() <= 0
 
 
 @pytest.mark.parametrize("times", [1, 2, 3])
-def test_routers_that_start_again_dont_earn_twice_what_a_calm_time_earned(times):
-    """What ten calm seconds had earned was used at once, and each start earned anew."""
+def test_restarted_routers_do_not_use_earned_retries_twice(times):
+    """Guards against a budget that is earned again after each restart.
+
+    Retries earned in ten seconds without failures are used at once before a restart.
+    """
     restarts = [11.5 + 1.2 * number for number in range(times)]
     for routers, extra in FLEETS:
         for per_s in (10.0, 30.0):
@@ -43,7 +46,7 @@
             assert fleet.most_over() <= 0
 
 
-def test_routers_that_were_told_of_no_other_dont_take_the_whole_extra_each():
+def test_routers_that_know_no_other_do_not_each_use_all_extra_retries():
     for routers, extra in FLEETS:
         assert played(routers, extra, known=None).most_over() <= 0
 
@@ -55,7 +58,7 @@
     return fleet
 
 
-def test_callers_that_move_before_anything_fails_stay_within_the_budget():
+def test_callers_that_change_routers_before_failures_stay_within_the_budget():
     for routers, extra in FLEETS:
         fleet = moved(routers, extra, failing=[(18.0, 19.0)])
         assert fleet.repeats
@@ -63,7 +66,10 @@
 
 
 def test_callers_that_move_to_other_routers_dont_earn_twice():
-    """What ten seconds earned is repeated before the move, and again after it."""
+    """Guards against using a budget twice when callers change routers.
+
+    Retries earned in ten seconds are used before the change, and again after it.
+    """
     for routers, extra in FLEETS:
         fleet = moved(routers, extra, failing=[(9.0, 10.0), (18.0, 19.0)])
         assert fleet.most_over() <= 0
@@ -71,7 +77,10 @@
 
 @pytest.mark.parametrize("fails_from", [0.0, 10.4])
 def test_routers_that_are_added_dont_earn_again_what_others_used(fails_from):
-    """The same callers spread over three times as many routers from 9 s on."""
+    """Guards against using a budget twice when routers are added.
+
+    The same callers are spread over three times as many routers from 9 s on.
+    """
     for routers, extra in FLEETS:
         bounds = BudgetBounds(ratio=0.2, extra=extra, window=10.0)
         fleet = SimulatedRepeats(bounds, routers, known=routers, per_s=30.0)
--- a/tests/state/test_residency.py
+++ b/tests/state/test_residency.py
@@ -1,4 +1,4 @@
-"""Where requests may run whose route or organisation is kept to regions."""
+"""Data residency of requests whose route or organisation is restricted to regions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return allowed_data_centres(route(regions=of_route), "alder", table, REGIONS)
 
 
-def test_without_limits_any_data_centre_will_do():
+def test_without_restrictions_any_data_centre_is_allowed():
     assert allowed() is None
 
 
@@ -31,5 +31,7 @@
         (("elsewhere",), (), set()),
     ],
 )
-def test_both_limits_bind(of_route, of_organisation, expected):
+def test_restrictions_of_route_and_organisation_both_apply(
+    of_route, of_organisation, expected
+):
     assert allowed(of_route, of_organisation) == expected
--- a/tests/state/test_rests.py
+++ b/tests/state/test_rests.py
@@ -1,6 +1,7 @@
-"""Endpoints that want nothing from a router for a while.
+"""Backoff from endpoints that asked a router to send no requests for a time.
 
-An engine that had asked a router for 3 s of rest got nine requests of it in that time.
+Guards against requests to an endpoint during its backoff: an engine that requested 3 s
+got nine requests of the router in that time.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
     return rests
 
 
-def test_an_endpoint_rests_for_as_long_as_it_asked():
+def test_backoff_lasts_as_long_as_requested():
     rests = rested(3.0)
     assert rests.opens_at(NAME, 0.0) == rests.opens_at(NAME, 2.9) == 3.0
     assert rests.opens_at(NAME, 3.0) == 0.0
@@ -30,22 +31,22 @@
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
-def test_no_time_is_no_rest(seconds):
+def test_duration_of_zero_or_less_is_no_backoff(seconds):
     assert rested(seconds).entries == {}
 
 
 @pytest.mark.parametrize("seconds", [1e9, float("inf")])
-def test_a_time_without_reason_ends_all_the_same(seconds):
+def test_excessive_duration_is_limited(seconds):
     assert rested(seconds).opens_at(NAME, 0.0) == MAX_BACKOFF_DURATION
 
 
-def test_a_shorter_rest_asked_for_later_ends_no_longer_one():
+def test_later_request_does_not_shorten_a_backoff():
     rests = rested(3.0)
     rests.ask(NAME, 1.0, 0.5)
     assert rests.opens_at(NAME, 0.5) == 3.0
 
 
-def test_one_request_at_a_time_goes_to_an_endpoint_after_its_rest():
+def test_single_probe_requests_are_sent_after_a_backoff():
     rests = rested(3.0)
     rests.sent(NAME, 3.0)
     assert rests.opens_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL
@@ -55,7 +56,7 @@
     assert rests.opens_at(NAME, 3.1) == 0.0
 
 
-def test_a_rest_outlasts_the_entry_of_its_endpoint():
+def test_backoff_is_kept_after_its_endpoint_is_deregistered():
     rests = rested(3.0)
     rests.expire({}, 2.9)
     assert rests.lasts(NAME, 2.9)
@@ -66,17 +67,17 @@
 
 
 class Event(Enum):
-    """What may happen next."""
+    """Events that may happen next."""
 
-    ASKS_LONG = "it asks for three steps of rest"
-    ASKS_SHORT = "it asks for one step of rest"
-    ANSWERS = "it answers what was sent last"
+    ASKS_LONG = "it requests a backoff of three steps"
+    ASKS_SHORT = "it requests a backoff of one step"
+    ANSWERS = "it answers the request sent last"
     SENT = "a request is sent, if one may be"
     PASSES = "a step of time passes"
 
 
 class Model:
-    """A router's rests, and what the endpoint has asked for."""
+    """A router's backoffs, and the end of the backoff that the endpoint requested."""
 
     def __init__(self):
         self.rests = Rests()
@@ -88,7 +89,7 @@
         return list(Event)
 
     def play(self, event):
-        """Let an event happen; return whether a rest is broken or never ends."""
+        """Apply an event; return whether it violates a backoff, or one never ends."""
         if event is Event.PASSES:
             self.now += 1.0
         elif event is Event.ANSWERS:
@@ -99,7 +100,7 @@
             asked = 3.0 if event is Event.ASKS_LONG else 1.0
             self.until = max(self.until, self.now + asked)
             self.rests.ask(NAME, asked, self.now)
-        return self._avoided_for_ever()
+        return self._is_endless()
 
     def _send(self):
         if self.rests.opens_at(NAME, self.now):
@@ -108,17 +109,19 @@
         self.sent_at = self.now
         return self.now < self.until
 
-    def _avoided_for_ever(self):
+    def _is_endless(self):
         return bool(self.rests.opens_at(NAME, max(self.now, self.until) + 1.0))
 
     def key(self):
-        rest = self.rests.entries.get(NAME)
-        left = (rest.until - self.now, rest.next_probe - self.now) if rest else None
+        found = self.rests.entries.get(NAME)
+        remaining = (
+            (found.until - self.now, found.next_probe - self.now) if found else None
+        )
         since = min(4.0, self.now - self.sent_at)
-        return left, max(0.0, self.until - self.now), since
+        return remaining, max(0.0, self.until - self.now), since
 
 
-def test_no_order_of_events_breaks_a_rest_or_makes_it_endless():
+def test_no_order_of_events_violates_a_backoff_or_makes_it_endless():
     checked = check(Model, 9)
     assert checked.counterexample is None
     assert checked.states > 50
--- a/tests/state/test_service_rows.py
+++ b/tests/state/test_service_rows.py
@@ -1,4 +1,4 @@
-"""Service rows and the ledgers that they feed."""
+"""Service rows of a router, and the ledgers of its peers that they update."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Pair:
-    """A router's book and a peer that hears its rows over one link."""
+    """A router's service book, and a peer that receives its rows over one link."""
 
     def __init__(self):
         self.now = 0.0
@@ -45,28 +45,28 @@
         for book in (self.book, self.peer):
             book.tidy({"one", "two"})
 
-    def heard(self):
+    def service_received(self):
         return self.peer.ledger(SURVEY).account(ALDER).virtual
 
 
-def test_service_is_counted_once_however_often_it_is_heard():
+def test_service_is_counted_once_however_often_it_is_received():
     pair = Pair()
     pair.send(first=True)
     pair.serve(100)
     pair.send(times=3)
-    assert pair.heard() == 100
+    assert pair.service_received() == 100
 
 
-def test_service_from_before_the_first_meeting_is_no_debt():
+def test_service_before_the_first_connection_is_not_charged():
     pair = Pair()
     pair.serve(5000)
     pair.send(first=True)
     pair.serve(100)
     pair.send()
-    assert pair.heard() == 100
+    assert pair.service_received() == 100
 
 
-def test_service_during_a_separation_is_bounded_when_it_is_heard():
+def test_charge_for_service_during_a_partition_is_limited():
     pair = Pair()
     pair.send(first=True)
     pair.serve(10)
@@ -75,10 +75,10 @@
         pair.serve(10)
     pair.cursor.version = 0
     pair.send(first=True)
-    assert pair.heard() < 10000
+    assert pair.service_received() < 10000
 
 
-def test_idle_row_is_dropped_and_begins_anew_without_loss_or_double():
+def test_dropped_idle_row_starts_again_without_lost_or_double_service():
     pair = Pair()
     pair.send(first=True)
     pair.serve(100)
@@ -88,7 +88,7 @@
     assert not pair.rows.rows
     pair.serve(30)
     pair.send()
-    assert pair.heard() == 130
+    assert pair.service_received() == 130
     pair.now += SEEN_LIFETIME + 1
     pair.tidy()
     assert not pair.peer.seen["one"]
