--- a/tests/state/test_pressure.py
+++ b/tests/state/test_pressure.py
@@ -1,18 +1,19 @@
-"""A loop that is late for a while is overload; a burst or a pause is not."""
+"""Overload detection: a lasting delay counts, a burst or a pause does not."""
 
 from __future__ import annotations
 
 import pytest
 
 from carawayfold.state.pressure import (
-    CALM_AFTER,
-    FALL,
-    MOST,
-    STEEPEST,
-    TARGET,
+    CALM_DURATION,
+    FRACTION_DECREASE,
+    MAX_INCREASE_FACTOR,
+    MAX_REJECTED_FRACTION,
+    TARGET_DELAY,
     PressureGauge,
 )
 
+#: Seconds between two samples of a loop without delay.
 STEP = 0.05
 
 
@@ -24,52 +25,54 @@
     return now
 
 
-def test_a_loop_in_time_refuses_nothing():
+def test_loop_below_the_target_delay_rejects_nothing():
     gauge = PressureGauge()
-    now = feed(gauge, [TARGET / 2] * 50)
+    now = feed(gauge, [TARGET_DELAY / 2] * 50)
     assert gauge.part == 0
     assert not gauge.is_busy(now)
     assert not any(gauge.refuses() for _ in range(100))
 
 
-@pytest.mark.parametrize("delay", [TARGET * 1.1, TARGET * STEEPEST, 1.0])
-def test_a_delay_that_stays_is_refused_more_and_more(delay):
+@pytest.mark.parametrize(
+    "delay", [TARGET_DELAY * 1.1, TARGET_DELAY * MAX_INCREASE_FACTOR, 1.0]
+)
+def test_lasting_delay_increases_the_rejected_fraction(delay):
     gauge = PressureGauge()
-    parts = []
+    fractions = []
     for _ in range(30):
         feed(gauge, [delay])
-        parts.append(gauge.part)
-    assert parts == sorted(parts)
-    assert parts[-1] == MOST
+        fractions.append(gauge.part)
+    assert fractions == sorted(fractions)
+    assert fractions[-1] == MAX_REJECTED_FRACTION
 
 
-def test_requests_are_refused_evenly():
+def test_rejections_are_evenly_spaced():
     gauge = PressureGauge(part=0.25)
-    refused = [gauge.refuses() for _ in range(12)]
-    assert refused == [False, False, False, True] * 3
+    rejected = [gauge.refuses() for _ in range(12)]
+    assert rejected == [False, False, False, True] * 3
 
 
-def test_single_late_samples_between_which_the_loop_catches_up_are_none():
+def test_single_late_samples_are_not_overload():
     gauge = PressureGauge()
     feed(gauge, [0.2, 0.001] * 10)
     assert gauge.part == 0
 
 
-def test_a_process_that_stood_still_is_not_overloaded():
+def test_process_paused_as_a_whole_is_not_overloaded():
     gauge = PressureGauge()
     now = feed(gauge, [0.001] * 10)
     gauge.note(4.0, now + 4.0)
     assert gauge.part == 0
 
 
-def test_calm_returns_only_after_a_while():
+def test_process_stays_busy_for_a_time_after_the_last_rejection():
     gauge = PressureGauge()
     now = feed(gauge, [1.0] * 10)
     assert gauge.is_busy(now)
-    now = feed(gauge, [0.0] * int(MOST / FALL + 1), now)
+    now = feed(gauge, [0.0] * int(MAX_REJECTED_FRACTION / FRACTION_DECREASE + 1), now)
     assert gauge.part == 0
     assert gauge.is_busy(now)
-    now = feed(gauge, [0.0] * int(CALM_AFTER / STEP + 1), now)
+    now = feed(gauge, [0.0] * int(CALM_DURATION / STEP + 1), now)
     assert not gauge.is_busy(now)
 
 
