--- a/carawayfold/coordination/containment/__init__.py
+++ b/carawayfold/coordination/containment/__init__.py
@@ -1,1 +1,1 @@
-"""Contents under which endpoints end, and how they are kept from the others."""
+"""Containment of request contents that crash endpoints."""
--- a/carawayfold/coordination/containment/containment.py
+++ b/carawayfold/coordination/containment/containment.py
@@ -1,9 +1,9 @@
-"""Keeps contents under which endpoints end from the endpoints that are left.
+"""Quarantines request contents that crash endpoints.
 
-The load it answers: callers repeat a harmful request at any router. The home of a
-content counts the endpoints that ended under it, gives the verdict, tells every router
-and writes it to the store. A verdict is everywhere some milliseconds after the crash
-that settled it, and each heartbeat shows who has missed one.
+Callers may retry a harmful request at any router. The router responsible for a content
+counts the endpoints that ended while serving it, issues the verdict, broadcasts it and
+writes it to the store. A verdict reaches all routers some milliseconds after the
+decisive crash; the checksum in each heartbeat shows which routers have missed one.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 import logbook
 
-from carawayfold.coordination.containment.crash_reports import CrashReports, subject
+from carawayfold.coordination.containment.crash_reports import (
+    CrashReports,
+    partition_of,
+)
 from carawayfold.coordination.containment.verdict_records import VerdictRecorder
 from carawayfold.errors import ErrorKind, Refusal
 from carawayfold.protocol.datagrams import (
@@ -57,28 +60,28 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds between looks at what is known, told and forgotten.
-LOOK_INTERVAL = 0.25
-#: Seconds between two times that what is over is forgotten: it takes a look at each
-#: content, and nothing lasts for less than some minutes.
+#: Seconds between reviews of reports and verdicts.
+REVIEW_INTERVAL = 0.25
+#: Seconds between two removals of expired entries. A removal visits each content, and
+#: no entry expires in less than some minutes.
 EXPIRY_INTERVAL = 10.0
-#: Least seconds between two times that one peer is told all verdicts.
-EVEN_OUT_INTERVAL = 1.0
-#: Endpoints remembered that ended under harmful contents.
-EXPLAINED_KEPT = 2000
-#: Seconds for which a lost endpoint is not told of again.
-LOST_KEPT = 60.0
-#: Endpoints named in one verdict, so that it fits a datagram.
-ENDPOINTS_NAMED = 10
+#: Least seconds between two transfers of all verdicts to the same peer.
+MIN_SYNC_INTERVAL = 1.0
+#: Endpoints whose end is attributed to a harmful content that are kept.
+MAX_ATTRIBUTED_ENDPOINTS = 2000
+#: Seconds for which a lost endpoint is not announced again.
+LOST_RETENTION_DURATION = 60.0
+#: Endpoints listed in one verdict, so that it fits into a datagram.
+MAX_ENDPOINTS_PER_VERDICT = 10
 
 
-class Call(Protocol):
-    """A request, by whom it is and what makes it the same as another one.
+class RequestIdentity(Protocol):
+    """Identity of a request: its organisation and the digest of its content.
 
     Attributes
     ----------
     content : ContentId
-        Worked out when first wanted.
+        Computed on first use.
     """
 
     organisation: OrganisationId
@@ -89,7 +92,7 @@
 
 
 class Containment:
-    """Verdicts on contents, as one router knows and gives them.
+    """The verdicts on contents that one router knows and issues.
 
     Parameters
     ----------
@@ -97,18 +100,18 @@
         The routers.
     registered : callable
         Returns the registration of an endpoint, or None.
-    pulse : Pulse
-        Endpoints' signs of life.
+    endpoint_activity : EndpointActivity
+        Time of the last byte from each endpoint.
     probe : callable
-        Returns what becomes of a connection to an address.
+        Returns the result of connecting to an address.
     records : VerdictStore
-        Where verdicts outlast all routers.
+        Stores verdicts so that they survive all routers.
     spawn : callable
         Runs a coroutine as a task.
     on_quarantined : callable
-        Called with each content that is refused from now on.
+        Called with each content that is quarantined.
     on_lost : callable
-        Called with each endpoint that has ended, whichever router found out.
+        Called with each endpoint that has ended, whichever router detected it.
     """
 
     def __init__(
@@ -131,38 +134,43 @@
         self.book = CrashBook()
         self.departures = Departures()
         self.reports = CrashReports(
-            fleet, pulse, probe, self._take_report, self._lost, spawn
+            fleet, pulse, probe, self._handle_crash, self._on_endpoint_lost, spawn
         )
         self.well_runs = WellRuns()
-        #: Endpoints that ended under a harmful content, and which one.
-        self.explained: dict[EndpointId, ContentId] = {}
-        #: Endpoints that have ended, and when this router heard of it.
+        #: Endpoints that ended while serving a harmful content, with that content.
+        self.attributed: dict[EndpointId, ContentId] = {}
+        #: Endpoints that have ended, with the loop time of the report.
         self.lost: dict[EndpointId, float] = {}
-        #: When what is over was last forgotten.
-        self.expired_at = 0.0
-        #: When each peer was last told everything.
-        self.evened_out: dict[RouterId, float] = {}
-        self.recorder = VerdictRecorder(records, self.quarantine, self._is_home, spawn)
+        #: Loop time of the last removal of expired entries.
+        self.last_expiry_at = 0.0
+        #: Loop time of the last transfer of all verdicts to each peer.
+        self.last_sync_at: dict[RouterId, float] = {}
+        self.recorder = VerdictRecorder(
+            records, self.quarantine, self._is_responsible, spawn
+        )
 
-    def _is_home(self, content: ContentId) -> bool:
-        return self.fleet.responsible(subject(content)) == self.fleet.own.router
+    def _is_responsible(self, content: ContentId) -> bool:
+        return self.fleet.responsible(partition_of(content)) == self.fleet.own.router
 
-    # What this router learns itself
+    # Events observed by this router
 
     def endpoint_gone(self, endpoint: Endpoint) -> None:
-        """Note that an endpoint is no longer registered."""
+        """Record that an endpoint is no longer registered."""
         now = self.loop.time()
         self.departures.note(endpoint, now)
         if not endpoint.leaving:
             self.well_runs.watch(now)
 
-    def _lost(self, endpoint: EndpointId) -> None:
-        """Tell every router that an endpoint has ended."""
-        if self._note_lost(endpoint):
+    def _on_endpoint_lost(self, endpoint: EndpointId) -> None:
+        """Broadcast that an endpoint has ended."""
+        if self._record_lost(endpoint):
             self.fleet.send_to_all(LostMessage(endpoint))
 
-    def _note_lost(self, endpoint: EndpointId) -> bool:
-        """Watch what runs well from now on; return whether the loss is news."""
+    def _record_lost(self, endpoint: EndpointId) -> bool:
+        """Record the end of an endpoint; return whether it was unknown.
+
+        Successful runs are recorded for a while afterwards.
+        """
         now = self.loop.time()
         if endpoint in self.lost:
             return False
@@ -171,18 +179,18 @@
         self.well_runs.watch(now)
         return True
 
-    # What requests ask
+    # Checks of requests
 
-    def refuse_harmful(self, call: Call) -> None:
-        """Raise the answer to a request whose content is kept from the endpoints.
+    def refuse_harmful(self, call: RequestIdentity) -> None:
+        """Reject a request whose content is quarantined.
 
-        Asked wherever a request may have waited, since a verdict can come meanwhile. A
-        digest is worked out only where something is known of the organisation.
+        Called after each wait of a request, since a verdict can arrive meanwhile. The
+        digest is computed only if there is a verdict for the organisation.
 
         Raises
         ------
         Refusal
-            ``harmful-request``; this call of it has not run.
+            ``harmful-request``; this call has not been executed.
         """
         if not self.quarantine.concerns(call.organisation):
             return
@@ -193,113 +201,119 @@
             kind = ErrorKind.HARMFUL_REQUEST
             raise Refusal(kind, detail, retry_after=math.ceil(held))
 
-    def is_suspected(self, call: Call) -> bool:
-        """Return whether a request should be sent once a call."""
+    def is_suspected(self, call: RequestIdentity) -> bool:
+        """Return whether a request is suspected and so is sent once a call."""
         if not self.quarantine.concerns(call.organisation):
             return False
         return self.quarantine.is_suspected(call.content)
 
-    def note_well(self, call: Call, body: bytes) -> None:
-        """Note that a request has run well, if that matters."""
+    def note_well(self, call: RequestIdentity, body: bytes) -> None:
+        """Record a successful request if the record can affect a verdict."""
         now = self.loop.time()
         concerned = self.quarantine.concerns(call.organisation)
         if concerned or self.well_runs.wants(body, now):
-            self.ran_well(call.content, call.organisation)
+            self.record_content_success(call.content, call.organisation)
 
-    def ran_well(self, content: ContentId, organisation: OrganisationId) -> None:
-        """Note that a content has run without harm."""
+    def record_content_success(
+        self, content: ContentId, organisation: OrganisationId
+    ) -> None:
+        """Record that a content was served without a crash."""
         now = self.loop.time()
         self.well_runs.note(content, now)
         if self.quarantine.is_suspected(content):
-            self._speak_for(content, organisation, now)
+            self._report_success(content, organisation, now)
 
-    def _speak_for(
+    def _report_success(
         self, content: ContentId, organisation: OrganisationId, at: float
     ) -> None:
-        """Tell the home of a content that it ran well at a time."""
-        home = self.fleet.responsible(subject(content))
+        """Report a successful run at loop time `at` to the responsible router."""
+        responsible = self.fleet.responsible(partition_of(content))
         age = round((self.loop.time() - at) * 1000)
         message = RanWellMessage(content, organisation, age)
-        if home == self.fleet.own.router:
-            self._take(message, home)
+        if responsible == self.fleet.own.router:
+            self._handle_message(message, responsible)
         else:
-            self.fleet.send(home, message)
+            self.fleet.send(responsible, message)
 
     def lift(self, content: ContentId) -> bool:
-        """Clear a content at an operator's word; return whether it was known."""
+        """Lift the verdict on a content for an operator; return whether it had one."""
         entry = self.quarantine.get(content)
         if entry is None or entry.level.is_clear:
             return False
-        self._give(content, entry.organisation, Level.LIFTED, self.loop.time(), ())
+        self._issue_verdict(
+            content, entry.organisation, Level.LIFTED, self.loop.time(), ()
+        )
         return True
 
     def learn_records(self, records: Iterable[QuarantineRecord]) -> None:
-        """Take the verdicts that the store holds."""
+        """Apply the verdicts that the store holds."""
         for entry in self.recorder.read(records):
-            self._learn(entry, "store")
+            self._accept_verdict(entry, "store")
         self.recorder.write_missing()
 
     def known_messages(self) -> list[VerdictMessage]:
-        """Return all that a router must be told which knows nothing."""
-        return [self._message(item) for item in self.quarantine.entries.values()]
+        """Return all verdicts, for a router that has none."""
+        return [
+            self._verdict_message(item) for item in self.quarantine.entries.values()
+        ]
 
     def fleet_changed(self) -> None:
-        """Tell new homes what they should know."""
-        self.reports.tell_again()
+        """Send reports and verdicts where the responsible routers have changed."""
+        self.reports.resend()
         self.recorder.write_missing()
 
     async def keep_looking(self) -> None:
-        """Look for ever after what changes with time."""
+        """Review reports and verdicts at regular intervals, without end."""
         while True:
-            await asyncio.sleep(LOOK_INTERVAL)
-            self.look()
+            await asyncio.sleep(REVIEW_INTERVAL)
+            self.review()
 
-    def look(self) -> None:
-        """Tell again what may be lost, judge anew, and forget what is over."""
+    def review(self) -> None:
+        """Resend reports that may be lost, update verdicts, drop expired entries."""
         now = self.loop.time()
-        self.reports.tell_again()
-        if now - self.expired_at >= EXPIRY_INTERVAL:
+        self.reports.resend()
+        if now - self.last_expiry_at >= EXPIRY_INTERVAL:
             self._expire(now)
         for content, case in list(self.book.cases.items()):
             if len(case.crashes) >= SUSPECTED_AT or content in self.quarantine.entries:
-                self._judge(content)
+                self._update_verdict(content)
 
     def _expire(self, now: float) -> None:
-        self.expired_at = now
+        self.last_expiry_at = now
         self.book.expire(now)
         self.quarantine.expire(now)
         self.recorder.forget()
         for endpoint, heard in list(self.lost.items()):
-            if now - heard > LOST_KEPT:
+            if now - heard > LOST_RETENTION_DURATION:
                 del self.lost[endpoint]
 
-    # What peers tell
+    # Messages of peers
 
     def take(self, datagram: Datagram) -> None:
-        """Take the messages of a peer."""
+        """Handle the messages of a peer."""
         for message in datagram.messages:
-            self._take(message, datagram.sender)
+            self._handle_message(message, datagram.sender)
 
     @singledispatchmethod
-    def _take(self, message: Message, sender: RouterId) -> None:
-        """Take one message; most are not on contents."""
+    def _handle_message(self, message: Message, sender: RouterId) -> None:
+        """Handle one message; those of other modules are ignored."""
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Beat, sender: RouterId) -> None:
         if message.verdicts == self.quarantine.checksum:
             return
         now = self.loop.time()
-        if now - self.evened_out.get(sender, -EVEN_OUT_INTERVAL) < EVEN_OUT_INTERVAL:
+        if now - self.last_sync_at.get(sender, -MIN_SYNC_INTERVAL) < MIN_SYNC_INTERVAL:
             return
-        self.evened_out[sender] = now
+        self.last_sync_at[sender] = now
         for verdict in self.known_messages():
             self.fleet.send(sender, verdict)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: CrashMessage, sender: RouterId) -> None:
-        self._take_report(message, sender)
+        self._handle_crash(message, sender)
 
-    def _take_report(self, message: CrashMessage, sender: RouterId) -> None:
+    def _handle_crash(self, message: CrashMessage, sender: RouterId) -> None:
         at = self.loop.time() - message.age / 1000
         lasted = float("inf") if message.lasted is None else message.lasted / 1000
         crash = Crash(
@@ -307,22 +321,22 @@
         )
         if not self.book.note(message.content, message.organisation, crash):
             return
-        self._judge(message.content)
+        self._update_verdict(message.content)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: RanWellMessage, sender: RouterId) -> None:
         at = self.loop.time() - message.age / 1000
         self.book.note_well(message.content, message.organisation, at)
-        self._reconsider(message.content, at)
+        self._lower_verdict(message.content, at)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: LostMessage, sender: RouterId) -> None:
-        if not self._note_lost(message.endpoint):
+        if not self._record_lost(message.endpoint):
             return
         for router in self.fleet.passed_on_to(sender):
             self.fleet.send(router, message)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: VerdictMessage, sender: RouterId) -> None:
         now = self.loop.time()
         entry = Entry(
@@ -335,64 +349,67 @@
             now + message.remembered / 1000,
             tuple(message.endpoints),
         )
-        if message.remembered > 0 and self._learn(entry, sender):
+        if message.remembered > 0 and self._accept_verdict(entry, sender):
             self.recorder.write_missing()
-            message = self._message(entry)
+            message = self._verdict_message(entry)
             for router in self.fleet.passed_on_to(sender):
                 self.fleet.send(router, message)
 
     # Verdicts
 
-    def _judge(self, content: ContentId) -> None:
-        """Give a verdict if this router is the content's home and there is news."""
-        if not self._is_home(content):
+    def _update_verdict(self, content: ContentId) -> None:
+        """Issue a verdict if this router is responsible and the verdict has changed."""
+        if not self._is_responsible(content):
             return
         case = self.book.cases[content]
-        ended = self._ended_under(content)
+        ended = self._ended_endpoints(content)
         if ended == case.judged:
             return
         case.judged = ended
         known = self.quarantine.get(content)
-        since = self._since(content)
+        since = self._first_crash_at(content)
         weights = dict(ended)
         named: set[EndpointId] = set()
         if known is not None and not known.level.is_clear:
             named = set(known.endpoints)
             since = min(since, known.since)
             weights = dict.fromkeys(named, 1.0) | ended
-        level = level_for(list(weights.values()), self._ran_well(content))
-        news = known is None or known.level is not level or not ended.keys() <= named
-        if level is not Level.CLEARED and news:
-            self._give(content, case.organisation, level, since, weights)
+        level = level_for(list(weights.values()), self._succeeded_recently(content))
+        changed = known is None or known.level is not level or not ended.keys() <= named
+        if level is not Level.CLEARED and changed:
+            self._issue_verdict(content, case.organisation, level, since, weights)
 
-    def _reconsider(self, content: ContentId, since: float) -> None:
-        """Lower a verdict if what counts against a content has become less."""
+    def _lower_verdict(self, content: ContentId, since: float) -> None:
+        """Lower a verdict if fewer crashes count against the content than before."""
         known = self.quarantine.get(content)
         if known is None or known.level.is_clear:
             return
-        left = self._ended_under(content)
-        level = level_for(list(left.values()), self._ran_well(content))
+        left = self._ended_endpoints(content)
+        level = level_for(list(left.values()), self._succeeded_recently(content))
         if level is known.level:
             return
         if level is not Level.CLEARED:
-            since = self._since(content)
-        self._give(content, known.organisation, level, since, left)
+            since = self._first_crash_at(content)
+        self._issue_verdict(content, known.organisation, level, since, left)
 
-    def _explain(self, verdict: Entry) -> None:
-        """Let the crashes of a harmful content count no more against companions."""
+    def _attribute_crashes(self, verdict: Entry) -> None:
+        """Attribute crashes to a harmful content.
+
+        They no longer count against the contents that were in flight with it.
+        """
         for endpoint in verdict.endpoints:
-            self.explained.setdefault(endpoint, verdict.content)
-        while len(self.explained) > EXPLAINED_KEPT:
-            del self.explained[next(iter(self.explained))]
+            self.attributed.setdefault(endpoint, verdict.content)
+        while len(self.attributed) > MAX_ATTRIBUTED_ENDPOINTS:
+            del self.attributed[next(iter(self.attributed))]
         now = self.loop.time()
         for content, case in list(self.book.cases.items()):
             if content != verdict.content and case.is_companion(now):
-                self._reconsider(content, now)
+                self._lower_verdict(content, now)
 
-    def _ended_under(self, content: ContentId) -> dict[EndpointId, float]:
-        """Return the endpoints that ended under a content, with weights.
+    def _ended_endpoints(self, content: ContentId) -> dict[EndpointId, float]:
+        """Return the endpoints that ended while serving a content, with weights.
 
-        Those that ended under a harmful one count against no companion.
+        Crashes attributed to a harmful content count against no companion of it.
         """
         case = self.book.cases.get(content)
         if case is None:
@@ -402,27 +419,29 @@
             name: crash.weight
             for name, crash in case.crashes.items()
             if self.departures.has_ended(crash, self.registered(crash.endpoint))
-            and not (companion and self._is_explained(name, content))
+            and not (companion and self._is_attributed_elsewhere(name, content))
         }
 
-    def _is_explained(self, endpoint: EndpointId, content: ContentId) -> bool:
-        return self.explained.get(endpoint, content) != content
+    def _is_attributed_elsewhere(
+        self, endpoint: EndpointId, content: ContentId
+    ) -> bool:
+        return self.attributed.get(endpoint, content) != content
 
-    def _ran_well(self, content: ContentId) -> bool:
-        """Return whether a content ran well not long ago, as far as is known."""
+    def _succeeded_recently(self, content: ContentId) -> bool:
+        """Return whether a recent successful run of a content is known."""
         now = self.loop.time()
         case = self.book.cases.get(content)
         if case is not None and now - case.ran_well_at < SPEAKS_FOR:
             return True
         return self.well_runs.last(content, now) is not None
 
-    def _since(self, content: ContentId) -> float:
-        """Return when the first crash was that counts against a content."""
+    def _first_crash_at(self, content: ContentId) -> float:
+        """Return the loop time of the first crash that counts against a content."""
         case = self.book.cases.get(content)
         times = [crash.at for crash in case.crashes.values()] if case else []
         return min(times, default=self.loop.time())
 
-    def _give(
+    def _issue_verdict(
         self,
         content: ContentId,
         organisation: OrganisationId,
@@ -430,23 +449,23 @@
         since: float,
         endpoints: Iterable[EndpointId],
     ) -> None:
-        """Give a verdict: know it here, tell every router, write it down."""
+        """Issue a verdict: apply it here, broadcast it and write it to the store."""
         now = self.loop.time()
         known = self.quarantine.get(content)
         stamp = round(time.time() * 1000)
         if known is not None:
-            # A clock that was set back must not make the newer verdict the older.
+            # Keeps stamps increasing when the system clock is set back.
             stamp = max(stamp, known.stamp + 1)
         held = now + REFUSED_FOR.get(level, 0.0)
-        named = tuple(sorted(endpoints)[:ENDPOINTS_NAMED])
+        named = tuple(sorted(endpoints)[:MAX_ENDPOINTS_PER_VERDICT])
         forget = held + REMEMBERED_FOR
         entry = Entry(content, organisation, level, stamp, since, held, forget, named)
-        self._learn(entry, self.fleet.own.router)
-        self.fleet.send_to_all(self._message(entry))
+        self._accept_verdict(entry, self.fleet.own.router)
+        self.fleet.send_to_all(self._verdict_message(entry))
         self.recorder.write_missing()
 
-    def _learn(self, entry: Entry, source: RouterId | str) -> bool:
-        """Take a verdict from anywhere; return whether it is news."""
+    def _accept_verdict(self, entry: Entry, source: RouterId | str) -> bool:
+        """Apply a verdict from any source; return whether it is newer."""
         if not self.quarantine.put(entry):
             return False
         held = self.quarantine.held_for(entry.content, self.loop.time())
@@ -462,7 +481,7 @@
             },
         )
         if entry.level is Level.LIFTED:
-            # Not a run that ended well, which would let five endpoints end.
+            # Not counted as a successful run: that would allow five more crashes.
             self.book.clear(entry.content)
             self.reports.forget(entry.content, entry.since)
             return True
@@ -472,14 +491,14 @@
             return True
         at = self.well_runs.last(entry.content, self.loop.time())
         if at is not None:
-            self._speak_for(entry.content, entry.organisation, at)
+            self._report_success(entry.content, entry.organisation, at)
         if entry.level is Level.QUARANTINED:
-            # One that is rested may still run well where it is, which clears it.
+            # A request that is in flight may still succeed and clear a rested content.
             self.on_quarantined(entry.content)
-            self._explain(entry)
+            self._attribute_crashes(entry)
         return True
 
-    def _message(self, entry: Entry) -> VerdictMessage:
+    def _verdict_message(self, entry: Entry) -> VerdictMessage:
         now = self.loop.time()
         return VerdictMessage(
             entry.content,
--- a/carawayfold/coordination/containment/crash_reports.py
+++ b/carawayfold/coordination/containment/crash_reports.py
@@ -1,8 +1,8 @@
-"""Finds out whether an endpoint ended under requests, and tells who looks after each.
+"""Detects endpoints that crashed under requests and reports the crashes.
 
-Each content has a home, the router that counts the crashes at which it was there. Only
-that one is told of every crash: on most crashes nearly all contents are innocent, and
-telling everyone would take more than heartbeats do.
+Each content has one responsible router, which counts the crashes during which the
+content was in flight. Crashes are reported to that router only: in most crashes nearly
+all contents are harmless, and a broadcast would use more bandwidth than heartbeats.
 """
 
 from __future__ import annotations
@@ -33,34 +33,35 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds before each look at an endpoint that lost connections. Most that have ended
-#: refuse at the first one; the system of a busy instance may close the listening socket
-#: of a process some milliseconds after its connections, and a router that is late
-#: itself sees no answer.
-LOOK_DELAYS = (0.003, 0.05, 0.25, 1.0)
-#: Reports kept to be told again to a new home.
-REPORTS_KEPT = 1000
-#: Seconds for which a report is told again to a new home.
-REPORT_LIFETIME = 900.0
-#: Homes among which contents are dealt out: each router remembers who looks after
-#: which, so there are few of them, and enough that every hub has some.
-HOMES = 64
-#: How often a report is sent to the same home, so that three lost datagrams of a
-#: hundred lose none in thirty thousand.
-TELLS = 3
+#: Seconds before each probe of an endpoint that lost connections. Most crashed
+#: endpoints refuse the first probe. The later ones are needed since the operating
+#: system of a busy instance may close the listening socket of a process some
+#: milliseconds after its connections, and a router whose event loop is late sees no
+#: answer.
+PROBE_DELAYS = (0.003, 0.05, 0.25, 1.0)
+#: Reports kept for sending to a newly responsible router.
+MAX_REPORTS = 1000
+#: Seconds for which a report is sent to a newly responsible router.
+REPORT_DURATION = 900.0
+#: Partitions over which contents are distributed. Each router caches the responsible
+#: router per partition, so there are few of them, but enough for every hub.
+PARTITION_COUNT = 64
+#: Times that a report is sent to the same responsible router. At a datagram loss of 3 %
+#: fewer than one report in thirty thousand is lost.
+SENDS_PER_OWNER = 3
 
 
 class Loss(msgspec.Struct, frozen=True):
-    """An attempt whose endpoint went away under it.
+    """An attempt during which the connection to the endpoint was lost.
 
     Attributes
     ----------
     at : float
-        Loop time of the endpoint's last sign of life.
+        Loop time in seconds of the last byte from the endpoint.
     begun : bool
-        Whether the answer had begun by then.
+        Whether the response had begun by then.
     started : float or None
-        Loop time at which it was sent; None where that is not known.
+        Loop time in seconds at which the attempt was sent; None if unknown.
     """
 
     content: ContentId
@@ -72,40 +73,52 @@
 
     @property
     def lasted(self) -> float | None:
-        """Return the seconds for which the endpoint had it, as far as known."""
+        """Return the seconds from sending to the last byte, None if unknown."""
         return None if self.started is None else self.at - self.started
 
 
-class Report(msgspec.Struct):
-    """What this router saw, and whom it has told."""
+class PendingReport(msgspec.Struct):
+    """A crash that this router observed, and the state of its delivery.
+
+    Attributes
+    ----------
+    refused : bool
+        Whether the endpoint refused connections afterwards.
+    owner : RouterId or None
+        The responsible router that the report was last sent to.
+    incarnation : int
+        Incarnation of that router.
+    sends : int
+        Times that the report was sent to that incarnation.
+    """
 
     loss: Loss
     refused: bool
-    home: RouterId | None = None
+    owner: RouterId | None = None
     incarnation: int = 0
-    tells: int = 0
+    sends: int = 0
 
 
-def subject(content: ContentId) -> str:
-    """Return what the home of a content is ranked by."""
-    return f"contents/{int(content[:8], 16) % HOMES}"
+def partition_of(content: ContentId) -> str:
+    """Return the partition by which the router responsible for a content is chosen."""
+    return f"contents/{int(content[:8], 16) % PARTITION_COUNT}"
 
 
 class CrashReports:
-    """The crashes that this router saw.
+    """Detects crashes at this router and reports them to the responsible routers.
 
     Parameters
     ----------
     fleet : Fleet
-        Who is the home of a content.
-    pulse : Pulse
-        Endpoints' signs of life.
+        Returns the router responsible for a content, and sends to it.
+    endpoint_activity : EndpointActivity
+        Time of the last byte from each endpoint.
     probe : callable
-        Returns what becomes of a connection to an address.
-    take_own : callable
-        Takes the reports on contents whose home is this router.
+        Returns the result of connecting to an address.
+    on_own_report : callable
+        Called with the reports on contents that this router is responsible for.
     on_lost : callable
-        Called with each endpoint that has ended for sure.
+        Called with each endpoint that is confirmed to have ended.
     spawn : callable
         Runs a coroutine as a task.
     """
@@ -115,72 +128,75 @@
         fleet: Fleet,
         pulse: Pulse,
         probe: Callable[[Address], Awaitable[Reach]],
-        take_own: Callable[[CrashMessage, RouterId], None],
+        on_own_report: Callable[[CrashMessage, RouterId], None],
         on_lost: Callable[[EndpointId], None],
         spawn: Callable[[Coroutine[None, None, None]], None],
     ) -> None:
         self.fleet = fleet
         self.pulse = pulse
         self.probe = probe
-        self.take_own = take_own
+        self.on_own_report = on_own_report
         self.on_lost = on_lost
         self.spawn = spawn
         self.loop = asyncio.get_running_loop()
-        #: Losses at endpoints that are being looked at.
-        self.looked_at: dict[EndpointId, list[Loss]] = {}
-        self.kept: OrderedDict[tuple[ContentId, EndpointId], Report] = OrderedDict()
+        #: Lost attempts at endpoints that are being probed.
+        self.probed: dict[EndpointId, list[Loss]] = {}
+        #: Reports by content and endpoint, the oldest first.
+        self.kept: OrderedDict[tuple[ContentId, EndpointId], PendingReport] = (
+            OrderedDict()
+        )
 
     def note(self, loss: Loss) -> None:
-        """Find out what became of the endpoint of a lost attempt."""
-        losses = self.looked_at.setdefault(loss.endpoint.id, [])
+        """Probe the endpoint of a lost attempt, once for all attempts lost together."""
+        losses = self.probed.setdefault(loss.endpoint.id, [])
         losses.append(loss)
         if len(losses) == 1:
-            self.spawn(self._look(loss.endpoint))
+            self.spawn(self._probe_endpoint(loss.endpoint))
 
-    async def _look(self, endpoint: Endpoint) -> None:
+    async def _probe_endpoint(self, endpoint: Endpoint) -> None:
         begun = self.loop.time()
-        for delay in LOOK_DELAYS:
+        for delay in PROBE_DELAYS:
             await asyncio.sleep(delay)
             reach = await self.probe(endpoint.address)
-            lives = self.pulse.heard.get(endpoint.id, 0.0) > begun
-            if lives or reach is Reach.REFUSED:
+            alive = self.pulse.heard.get(endpoint.id, 0.0) > begun
+            if alive or reach is Reach.REFUSED:
                 break
-        losses = self.looked_at.pop(endpoint.id)
+        losses = self.probed.pop(endpoint.id)
         logger.info(
-            "endpoint looked at",
+            "probed an endpoint after lost connections",
             extra={
                 "endpoint": endpoint.id,
                 "reach": reach.value,
-                "heard_since": lives,
+                "heard_since": alive,
                 "contents": len({loss.content for loss in losses}),
             },
         )
-        if lives:
+        if alive:
             return
-        # Something before an endpoint may take connections although it has ended: its
-        # registration then tells.
+        # A proxy in front of an endpoint may accept connections although the endpoint
+        # has ended; its registration decides then.
         if reach is Reach.REFUSED:
             self.on_lost(endpoint.id)
         for loss in losses:
-            self._report(loss, reach is Reach.REFUSED)
+            self._create_report(loss, reach is Reach.REFUSED)
 
-    def _report(self, loss: Loss, refused: bool) -> None:
-        report = Report(loss, refused)
+    def _create_report(self, loss: Loss, refused: bool) -> None:
+        report = PendingReport(loss, refused)
         self.kept[loss.content, loss.endpoint.id] = report
-        if len(self.kept) > REPORTS_KEPT:
+        if len(self.kept) > MAX_REPORTS:
             self.kept.popitem(last=False)
-        self._tell(report)
+        self._send_report(report)
 
-    def _tell(self, report: Report) -> None:
-        home = self.fleet.responsible(subject(report.loss.content))
-        incarnation = self.fleet.membership.incarnation_of(home)
-        if (home, incarnation) != (report.home, report.incarnation):
-            report.home = home
+    def _send_report(self, report: PendingReport) -> None:
+        owner = self.fleet.responsible(partition_of(report.loss.content))
+        incarnation = self.fleet.membership.incarnation_of(owner)
+        if (owner, incarnation) != (report.owner, report.incarnation):
+            report.owner = owner
             report.incarnation = incarnation
-            report.tells = 0
-        if report.tells >= TELLS:
+            report.sends = 0
+        if report.sends >= SENDS_PER_OWNER:
             return
-        report.tells += 1
+        report.sends += 1
         loss = report.loss
         message = CrashMessage(
             loss.content,
@@ -191,23 +207,26 @@
             loss.begun,
             None if loss.lasted is None else round(loss.lasted * 1000),
         )
-        if home == self.fleet.own.router:
-            report.tells = TELLS
-            self.take_own(message, home)
+        if owner == self.fleet.own.router:
+            report.sends = SENDS_PER_OWNER
+            self.on_own_report(message, owner)
         else:
-            self.fleet.send(home, message)
+            self.fleet.send(owner, message)
+
+    def resend(self) -> None:
+        """Resend reports, also to routers that have become responsible.
 
-    def tell_again(self) -> None:
-        """Tell each report to its home until that has got it, and to a new home."""
-        oldest = self.loop.time() - REPORT_LIFETIME
+        Each router is sent a report `SENDS_PER_OWNER` times: datagrams may be lost.
+        """
+        oldest = self.loop.time() - REPORT_DURATION
         for key, report in list(self.kept.items()):
             if report.loss.at < oldest:
                 del self.kept[key]
             else:
-                self._tell(report)
+                self._send_report(report)
 
     def forget(self, content: ContentId, until: float) -> None:
-        """Drop what counted against a content up to a time."""
+        """Drop the reports on a content up to loop time `until`."""
         for key, report in list(self.kept.items()):
             if key[0] == content and report.loss.at <= until:
                 del self.kept[key]
--- a/carawayfold/coordination/containment/pulse.py
+++ b/carawayfold/coordination/containment/pulse.py
@@ -1,4 +1,7 @@
-"""When each endpoint was last heard, to tell a silent one from a slow answer."""
+"""Time of the last byte from each endpoint.
+
+It distinguishes an endpoint that no longer sends from one with a slow response.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +10,28 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import EndpointId
 
-#: Seconds without a byte on any connection to an endpoint, while something is
-#: awaited from it, after which it is taken for silent.
-SILENCE = 1.0
+#: Seconds without a byte on any connection to an endpoint, while a response is
+#: awaited from it, after which it is considered silent.
+SILENCE_TIMEOUT = 1.0
 
 
 class Pulse:
-    """Last sign of life of each endpoint."""
+    """Time of the last activity of each endpoint.
+
+    Attributes
+    ----------
+    last_byte_at : dict
+        Loop time in seconds at which the last byte of each endpoint arrived.
+    """
 
     def __init__(self) -> None:
         self.heard: dict[EndpointId, float] = {}
 
     def beat(self, endpoint: EndpointId, now: float) -> None:
-        """Note bytes from an endpoint."""
+        """Record that bytes from an endpoint arrived at loop time `now`."""
         self.heard[endpoint] = now
 
     def is_silent(self, endpoint: EndpointId, since: float, now: float) -> bool:
-        """Return whether nothing came since `since` and for too long."""
+        """Return whether nothing has arrived since `since` for too long."""
         last = max(self.heard.get(endpoint, 0.0), since)
-        return now - last >= SILENCE
+        return now - last >= SILENCE_TIMEOUT
--- a/carawayfold/coordination/containment/verdict_records.py
+++ b/carawayfold/coordination/containment/verdict_records.py
@@ -1,4 +1,4 @@
-"""Writes verdicts on contents to the store, where they outlast all routers."""
+"""Persists verdicts on contents in the store, so that they survive all routers."""
 
 from __future__ import annotations
 
@@ -23,16 +23,17 @@
 
 
 class VerdictRecorder:
-    """Keeps the store's verdicts like those that this router is the home of.
+    """Keeps the verdicts in the store equal to those this router is responsible for.
 
     Parameters
     ----------
     records : VerdictStore
         The store.
     quarantine : Quarantine
-        The verdicts known here.
-    is_home : callable
-        Returns whether this router looks after a content: one writes for all.
+        The verdicts known to this router.
+    is_responsible : callable
+        Returns whether this router is responsible for a content; only the
+        responsible router writes its verdict.
     spawn : callable
         Runs a coroutine as a task.
     """
@@ -41,25 +42,25 @@
         self,
         records: VerdictStore,
         quarantine: Quarantine,
-        is_home: Callable[[ContentId], bool],
+        is_responsible: Callable[[ContentId], bool],
         spawn: Callable[[Coroutine[None, None, None]], None],
     ) -> None:
         self.records = records
         self.quarantine = quarantine
-        self.is_home = is_home
+        self.is_responsible = is_responsible
         self.spawn = spawn
         self.loop = asyncio.get_running_loop()
-        #: Stamps of the verdicts that the store holds, or is being told.
-        self.written: dict[ContentId, int] = {}
+        #: Stamps of the verdicts that the store holds or that are being written.
+        self.stored_stamps: dict[ContentId, int] = {}
 
     def read(self, records: Iterable[QuarantineRecord]) -> list[Entry]:
-        """Note what the store holds; return the verdicts that are not over."""
+        """Record what the store holds; return the verdicts that have not expired."""
         now, wall = self.loop.time(), time.time()
         entries = []
-        # What a store that came back from a copy has lost is written again.
-        self.written.clear()
+        # Verdicts missing from a store that was restored from a backup are rewritten.
+        self.stored_stamps.clear()
         for record in records:
-            self.written[record.content] = record.stamp
+            self.stored_stamps[record.content] = record.stamp
             held = now + record.held_until - wall
             entry = Entry(
                 record.content,
@@ -76,38 +77,40 @@
         return entries
 
     def forget(self) -> None:
-        """Forget what was written of contents that are no longer known."""
-        for content in self.written.keys() - self.quarantine.entries.keys():
-            del self.written[content]
+        """Drop the stamps of contents that are no longer known."""
+        for content in self.stored_stamps.keys() - self.quarantine.entries.keys():
+            del self.stored_stamps[content]
 
     def write_missing(self) -> None:
-        """Write the verdicts that the store lacks, where this router is the home."""
+        """Write verdicts that the store lacks, as far as this router is responsible."""
         for entry in self.quarantine.entries.values():
-            stored = self.written.get(entry.content)
+            stored = self.stored_stamps.get(entry.content)
             lasting = entry.level is Level.QUARANTINED or stored is not None
             if stored == entry.stamp or not lasting:
                 continue
-            if self.is_home(entry.content):
-                self.written[entry.content] = entry.stamp
+            if self.is_responsible(entry.content):
+                self.stored_stamps[entry.content] = entry.stamp
                 self.spawn(self._write(entry))
 
     async def _write(self, entry: Entry) -> None:
-        """Write a verdict until the store has it or a newer one has been given."""
+        """Retry writing a verdict until the store has it or a newer one replaces it."""
         backoff = Backoff()
         while self.quarantine.get(entry.content) is entry:
             try:
                 if entry.level.is_clear:
                     await self.records.drop_verdict(entry.content)
                 else:
-                    await self.records.keep_verdict(self._record_of(entry))
+                    await self.records.keep_verdict(self._to_record(entry))
             except SourceError as error:
                 extra = {"content": entry.content, "reason": str(error)}
-                logger.info("verdict not written yet", extra=extra)
+                logger.info(
+                    "writing a verdict to the store failed; retrying", extra=extra
+                )
                 await backoff.wait()
             else:
                 return
 
-    def _record_of(self, entry: Entry) -> QuarantineRecord:
+    def _to_record(self, entry: Entry) -> QuarantineRecord:
         now = self.loop.time()
         return QuarantineRecord(
             entry.content,
--- a/tests/coordination/containment/test_containment.py
+++ b/tests/coordination/containment/test_containment.py
@@ -1,7 +1,7 @@
-"""Contents under which endpoints end, in simulated fleets of several sizes.
+"""Containment of harmful contents, in simulated fleets of several sizes.
 
-The bounds are the stated aim: a content that ended three endpoints reaches others three
-times at most, counted from three seconds after the third; no other content is refused.
+Requirement: a content that crashed three endpoints is sent at most three more times,
+counted from three seconds after the third crash, and no other content is refused.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import pytest
 
-from carawayfold.coordination.containment.crash_reports import subject
+from carawayfold.coordination.containment.crash_reports import partition_of
 from carawayfold.state.contents import content_id
 from carawayfold.state.quarantine import Level
 from tests.simulated_crashes import (
@@ -21,22 +21,22 @@
 )
 from tests.simulated_fleet import simulate, started
 
-#: Endpoints that a content may end before it is refused.
+#: Endpoints that a content may crash before it is refused.
 ALLOWED_CRASHES = 3
-#: Sends of it that may follow later than `ALLOWED_FOR` after that.
+#: Times that it may be sent later than `ALLOWED_FOR` after that.
 ALLOWED_SENDS = 3
-#: Seconds until a fleet has found together.
-SETTLED = 6.0
+#: Seconds until all routers of a fleet are connected.
+CONNECT_DURATION = 6.0
 SIZES = [(6, 3), (67, 4), (195, 6)]
 
 
-def told(work, routers=6, places=3, seed=1, loss=0.0, engines=12):
-    """Run `work` with a fleet that has found together, and its endpoints."""
+def run_connected(work, routers=6, places=3, seed=1, loss=0.0, engines=12):
+    """Return the result of `work` on a connected fleet and its endpoints."""
 
     async def run():
         fleet = started(routers, places, seed, loss)
         world = SimulatedCrashes(fleet, engines, places)
-        await asyncio.sleep(SETTLED)
+        await asyncio.sleep(CONNECT_DURATION)
         try:
             return await work(fleet, world)
         finally:
@@ -47,8 +47,8 @@
     return simulate(run)
 
 
-def knowing(world, content):
-    """Return the routers that refuse a content."""
+def routers_refusing(world, content):
+    """Return the names of the routers that refuse a content."""
     now = world.loop.time()
     return {
         name
@@ -57,12 +57,12 @@
     }
 
 
-def all_know(world, content):
-    return len(knowing(world, content)) == len(world.containments)
+def all_refuse(world, content):
+    return len(routers_refusing(world, content)) == len(world.containments)
 
 
-async def end_engines(world, content, count):
-    """Send a content at any router until so many endpoints have ended under it."""
+async def crash_engines(world, content, count):
+    """Send a content to any router until `count` endpoints have crashed under it."""
     while world.tally.crashes[content] < count:
         before = world.tally.crashes[content]
         world.send(world.any_router(), content, True)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_contents_that_are_asked_again_and_again_are_served_beside_a_killer(seed):
+def test_repeated_contents_are_served_beside_a_harmful_one(seed):
     load = {"killers": 2, "killing": 1.0, "repeated": 10}
     tally = play(seed, seconds=20.0, innocents=40.0, **load)
     assert max(tally.late_sends.values()) <= ALLOWED_SENDS
@@ -98,184 +98,191 @@
 @pytest.mark.parametrize("loss", [0.0, 0.03])
 def test_every_router_knows_before_the_allowance_begins(routers, places, loss):
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        return await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        return await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
 
-    assert told(work, routers, places, loss=loss) is not None
+    assert run_connected(work, routers, places, loss=loss) is not None
 
 
 @pytest.mark.parametrize(("routers", "places"), SIZES[:2])
-def test_a_router_that_starts_afterwards_knows_soon(routers, places):
+def test_a_router_that_starts_later_gets_the_verdict(routers, places):
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
         world.records.kept.clear()
         fleet.start("late", "dc-0", 52)
         await fleet.until(lambda: "late" in world.containments, 1.0)
-        return await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        return await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
 
-    assert told(work, routers, places) is not None
+    assert run_connected(work, routers, places) is not None
 
 
 @pytest.mark.parametrize(("routers", "places"), SIZES[:2])
-def test_what_was_counted_outlasts_the_router_that_counted(routers, places):
+def test_crash_counts_survive_the_router_that_counted_them(routers, places):
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES - 1)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES - 1)
         made = world.containments.items()
-        homes = {name for name, item in made if killer in item.book.cases}
+        homes = {name for name, item in made if harmful in item.book.cases}
         assert homes
         world.kill(*homes)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        return await fleet.until(lambda: all_know(world, killer), 2 * ALLOWED_FOR)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        return await fleet.until(lambda: all_refuse(world, harmful), 2 * ALLOWED_FOR)
 
-    assert told(work, routers, places) is not None
+    assert run_connected(work, routers, places) is not None
 
 
-@pytest.mark.parametrize("away", [0.3, 2.0])
+@pytest.mark.parametrize("downtime", [0.3, 2.0])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_what_was_counted_outlasts_a_restart_under_the_same_name(away, seed):
-    """Others notice that a router is silent after 0.6 s: it may be back before."""
+def test_crash_counts_survive_a_restart_under_the_same_name(downtime, seed):
+    """Peers notice a silent router after 0.6 s; it may have restarted before that."""
 
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        home = next(iter(fleet.routers.values())).responsible(subject(killer))
+        [harmful] = killers_of(1)
+        home = next(iter(fleet.routers.values())).responsible(partition_of(harmful))
         processor = fleet.routers[home].own.processor
         sender, other = sorted(world.containments.keys() - {home})[:2]
-        world.send(sender, killer, True)
-        await fleet.until(lambda: killer in world.containments[home].book.cases, 3.0)
+        world.send(sender, harmful, True)
+        await fleet.until(lambda: harmful in world.containments[home].book.cases, 3.0)
         await asyncio.sleep(1.0)
         world.kill(home)
-        await asyncio.sleep(away)
+        await asyncio.sleep(downtime)
         fleet.dead.discard(home)
         fleet.start(home, fleet.places[home], processor)
-        await asyncio.sleep(SETTLED)
-        while world.tally.crashes[killer] < ALLOWED_CRASHES:
-            before = world.tally.crashes[killer]
-            world.send(other, killer, True)
-            await fleet.until(lambda n=before: world.tally.crashes[killer] > n, 2.0)
-        return await fleet.until(lambda: all_know(world, killer), 2 * ALLOWED_FOR)
+        await asyncio.sleep(CONNECT_DURATION)
+        while world.tally.crashes[harmful] < ALLOWED_CRASHES:
+            before = world.tally.crashes[harmful]
+            world.send(other, harmful, True)
+            await fleet.until(lambda n=before: world.tally.crashes[harmful] > n, 2.0)
+        return await fleet.until(lambda: all_refuse(world, harmful), 2 * ALLOWED_FOR)
 
-    assert told(work, seed=seed) is not None
+    assert run_connected(work, seed=seed) is not None
 
 
-def test_verdicts_outlast_all_routers():
+def test_verdicts_survive_all_routers():
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
         names = list(world.containments)
         world.kill(*names)
         for name in names:
             fleet.dead.discard(name)
             fleet.start(name, fleet.places[name], 52)
         await fleet.until(lambda: len(world.containments) == len(names), 1.0)
-        return all_know(world, killer)
+        return all_refuse(world, harmful)
 
-    assert told(work)
+    assert run_connected(work)
 
 
 def test_a_verdict_is_written_once_the_store_is_back():
     async def work(fleet, world):
-        [killer] = killers_of(1)
+        [harmful] = killers_of(1)
         world.records.down = True
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
         await asyncio.sleep(5.0)
         world.records.down = False
-        return await fleet.until(lambda: killer in world.records.kept, 5.0)
+        return await fleet.until(lambda: harmful in world.records.kept, 5.0)
 
-    assert told(work) is not None
+    assert run_connected(work) is not None
 
 
 def test_a_verdict_is_written_once_not_by_every_router():
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
         await asyncio.sleep(5.0)
         return world.records.calls
 
-    assert told(work, 67, 4) == 1
+    assert run_connected(work, 67, 4) == 1
 
 
 @pytest.mark.parametrize(("routers", "places"), SIZES[:2])
-def test_both_sides_of_a_cut_know_once_it_is_healed(routers, places):
+def test_both_sides_of_a_network_partition_know_the_verdict_once_it_ends(
+    routers, places
+):
     async def work(fleet, world):
-        [killer] = killers_of(1)
+        [harmful] = killers_of(1)
         fleet.apart.add("dc-0")
         await asyncio.sleep(3.0)
-        while world.tally.crashes[killer] < ALLOWED_CRASHES:
+        while world.tally.crashes[harmful] < ALLOWED_CRASHES:
             near = [x for x in world.containments if fleet.places[x] == "dc-1"]
-            world.send(near[0], killer, True)
+            world.send(near[0], harmful, True)
             await asyncio.sleep(0.3)
-        assert await fleet.until(lambda: knowing(world, killer), 5.0) is not None
+        assert (
+            await fleet.until(lambda: routers_refusing(world, harmful), 5.0) is not None
+        )
         fleet.apart.clear()
-        return await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        return await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
 
-    assert told(work, routers, places) is not None
+    assert run_connected(work, routers, places) is not None
 
 
 def test_a_verdict_lifted_by_an_operator_is_lifted_everywhere():
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
         made = world.containments[world.any_router()]
-        assert made.lift(killer)
-        assert not made.lift(killer)
-        lifted = await fleet.until(lambda: not knowing(world, killer), ALLOWED_FOR)
-        await fleet.until(lambda: killer not in world.records.kept, ALLOWED_FOR)
+        assert made.lift(harmful)
+        assert not made.lift(harmful)
+        lifted = await fleet.until(
+            lambda: not routers_refusing(world, harmful), ALLOWED_FOR
+        )
+        await fleet.until(lambda: harmful not in world.records.kept, ALLOWED_FOR)
         return lifted, list(world.records.kept)
 
-    assert told(work) == (pytest.approx(0.0, abs=ALLOWED_FOR), [])
+    assert run_connected(work) == (pytest.approx(0.0, abs=ALLOWED_FOR), [])
 
 
 def test_a_content_that_was_lifted_is_refused_again_after_as_many_crashes():
-    """A lift counted as a run that ended well, which speaks for a content.
+    """A lift must not count as a successful run of the content.
 
-    Five further endpoints ended before it was refused, and then for ten seconds only.
+    If it does, five more endpoints crash before the content is refused, and it is
+    refused for ten seconds only.
     """
 
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
-        world.containments[world.any_router()].lift(killer)
-        await fleet.until(lambda: not knowing(world, killer), ALLOWED_FOR)
-        await end_engines(world, killer, 2 * ALLOWED_CRASHES)
-        return await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
+        world.containments[world.any_router()].lift(harmful)
+        await fleet.until(lambda: not routers_refusing(world, harmful), ALLOWED_FOR)
+        await crash_engines(world, harmful, 2 * ALLOWED_CRASHES)
+        return await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
 
-    assert told(work) is not None
+    assert run_connected(work) is not None
 
 
-def test_after_its_time_one_more_crash_has_a_content_refused_again():
+def test_one_more_crash_after_expiry_has_a_content_refused_again():
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
-        await fleet.until(lambda: not knowing(world, killer), 1000.0)
-        await end_engines(world, killer, ALLOWED_CRASHES + 1)
-        return await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
+        await fleet.until(lambda: not routers_refusing(world, harmful), 1000.0)
+        await crash_engines(world, harmful, ALLOWED_CRASHES + 1)
+        return await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
 
-    assert told(work) is not None
+    assert run_connected(work) is not None
 
 
-def test_one_organisation_pushes_nobody_elses_verdict_out():
+def test_verdicts_of_one_organisation_evict_none_of_another():
     async def work(fleet, world):
-        [killer] = killers_of(1)
-        await end_engines(world, killer, ALLOWED_CRASHES)
-        await fleet.until(lambda: all_know(world, killer), ALLOWED_FOR)
+        [harmful] = killers_of(1)
+        await crash_engines(world, harmful, ALLOWED_CRASHES)
+        await fleet.until(lambda: all_refuse(world, harmful), ALLOWED_FOR)
         made = world.containments[world.any_router()]
         for number in range(2000):
             other = content_id("birch", b"POST", b"/", b"%d" % number)
             endpoints = ("e-1", "e-2", "e-3")
-            made._give(other, "birch", Level.QUARANTINED, 0.0, endpoints)
+            made._issue_verdict(other, "birch", Level.QUARANTINED, 0.0, endpoints)
         await asyncio.sleep(3.0)
         return [
-            (made.quarantine.is_suspected(killer), len(made.quarantine.entries))
+            (made.quarantine.is_suspected(harmful), len(made.quarantine.entries))
             for made in world.containments.values()
         ]
 
-    assert set(told(work)) == {(True, 51)}
+    assert set(run_connected(work)) == {(True, 51)}
--- a/tests/coordination/containment/test_crash_reports.py
+++ b/tests/coordination/containment/test_crash_reports.py
@@ -1,4 +1,4 @@
-"""How a router finds out whether an endpoint has ended."""
+"""Detection of crashed endpoints by probes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 CONTENT = content_id("alder", b"POST", b"/", b"body")
 
 
-class Alone:
-    """A router that is the home of every content."""
+class SingleRouterFleet:
+    """A fleet of one router, which is responsible for every content."""
 
     own = Member("r-0", "north", 1, 0.0)
     membership = Membership(own, lambda: 0.0, 1.0)
@@ -27,20 +27,23 @@
         return "r-0"
 
 
-def look(reaches, heard_after=None, losses=1):
-    """Return the reports on an endpoint whose looks end in `reaches`, and its loss."""
+def probe_endpoint(reaches, byte_after=None, losses=1):
+    """Probe an endpoint with the given results.
+
+    Returns the crash reports, the endpoints lost and the number of probes.
+    """
 
     async def work():
         loop = asyncio.get_running_loop()
         pulse = Pulse()
-        left = list(reaches)
+        remaining = list(reaches)
         reports, lost, tasks = [], [], []
 
         async def probe(address):
-            return left.pop(0)
+            return remaining.pop(0)
 
         made = CrashReports(
-            Alone(),
+            SingleRouterFleet(),
             pulse,
             probe,
             lambda message, sender: reports.append(message),
@@ -49,39 +52,39 @@
         )
         for _ in range(losses):
             made.note(Loss(CONTENT, "alder", endpoint("e-1"), loop.time()))
-        if heard_after is not None:
-            loop.call_later(heard_after, lambda: pulse.beat("e-1", loop.time()))
+        if byte_after is not None:
+            loop.call_later(byte_after, lambda: pulse.beat("e-1", loop.time()))
         await asyncio.gather(*tasks)
-        return reports, lost, len(reaches) - len(left)
+        return reports, lost, len(reaches) - len(remaining)
 
     return simulate(work)
 
 
 def test_an_endpoint_that_refuses_connections_has_ended():
-    reports, lost, looks = look([Reach.REFUSED])
+    reports, lost, probes = probe_endpoint([Reach.REFUSED])
     assert [report.refused for report in reports] == [True]
-    assert (lost, looks) == (["e-1"], 1)
+    assert (lost, probes) == (["e-1"], 1)
 
 
 @pytest.mark.parametrize("first", [Reach.ACCEPTED, Reach.SILENT])
-def test_one_whose_socket_closes_later_is_looked_at_again(first):
-    reports, lost, looks = look([first, Reach.REFUSED])
+def test_an_endpoint_whose_socket_closes_later_is_probed_again(first):
+    reports, lost, probes = probe_endpoint([first, Reach.REFUSED])
     assert [report.refused for report in reports] == [True]
-    assert (lost, looks) == (["e-1"], 2)
+    assert (lost, probes) == (["e-1"], 2)
 
 
-def test_one_that_is_heard_again_lives():
-    reports, lost, _ = look([Reach.ACCEPTED] * 4, heard_after=0.01)
+def test_an_endpoint_that_sends_bytes_again_has_not_ended():
+    reports, lost, _ = probe_endpoint([Reach.ACCEPTED] * 4, byte_after=0.01)
     assert (reports, lost) == ([], [])
 
 
-def test_what_can_not_be_told_is_left_to_the_registration():
-    reports, lost, _ = look([Reach.ACCEPTED] * 4)
+def test_an_undecided_probe_leaves_the_decision_to_the_registration():
+    reports, lost, _ = probe_endpoint([Reach.ACCEPTED] * 4)
     assert [report.refused for report in reports] == [False]
     assert lost == []
 
 
-def test_one_look_serves_all_that_was_there():
-    reports, _, looks = look([Reach.REFUSED], losses=3)
-    assert looks == 1
+def test_one_probe_serves_all_lost_attempts():
+    reports, _, probes = probe_endpoint([Reach.REFUSED], losses=3)
+    assert probes == 1
     assert len(reports) == 3
