--- a/carawayfold/application.py
+++ b/carawayfold/application.py
@@ -1,4 +1,4 @@
-"""The application object: wires the parts of one router and runs them."""
+"""Application object of a router: connects its components and runs them."""
 
 from __future__ import annotations
 
@@ -72,36 +72,37 @@
 
 logger = logbook.Logger(__name__)
 
-#: Stream of the log that carries the configuration.
+#: Log stream that carries the configuration.
 CONFIG_STREAM = "configuration"
-#: Stream of the log that orders claims of idempotency keys.
+#: Log stream that orders the claims of idempotency keys.
 CLAIMS_STREAM = "claims"
-#: Seconds that the owner of a claim may take to say what became of it.
+#: Seconds that the owner of a claim has to report the outcome of its request.
 OUTCOME_TIMEOUT = 1.0
-#: Seconds between looks at the platform's instance list.
+#: Seconds between reads of the platform's instance list.
 INSTANCES_INTERVAL = 1.0
-#: Seconds for the last refusals to be sent.
-LAST_ANSWERS = 0.1
-#: Heartbeats in a row after which a silent peer is taken for dead.
-BEATS_MISSED = 4
-#: Seconds a hand-over may take.
+#: Seconds that the last rejections have to be sent before the router closes.
+FINAL_RESPONSES_DELAY = 0.1
+#: Consecutive missed heartbeats after which a peer counts as failed.
+MISSED_HEARTBEATS_LIMIT = 4
+#: Seconds that a peer has to hand over its configuration snapshot.
 HAND_OVER_TIMEOUT = 2.0
-#: Seconds for which a stopping router still answers new connections with a
-#: refusal, while the balancer notices.
-STOP_NOTICE = 1.0
+#: Seconds during which a stopping router still answers new connections with a
+#: rejection, until the load balancer has removed it.
+STOP_NOTICE_DURATION = 1.0
 
 
-class NoRecords:
-    """Keeps no verdicts: those of the product's own interface last in memory only.
+class DiscardingVerdictStore:
+    """Verdict store that persists nothing.
 
-    The log of its platform has no records that are kept for good.
+    Verdicts of routers with the product's own interface are kept in memory only: the
+    log of that platform has no permanent records.
     """
 
     async def keep_verdict(self, record: QuarantineRecord) -> None:
-        """Keep nothing."""
+        """Discard the verdict."""
 
     async def drop_verdict(self, content: ContentId) -> None:
-        """Drop nothing."""
+        """Do nothing; no verdict is stored."""
 
 
 class Application:
@@ -110,7 +111,7 @@
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -125,7 +126,9 @@
         self.root = Root()
         self.http = HttpClient(self.root).register(self.root)
         self.membership = Membership(
-            own, self.clock, max(SILENCE_LIMIT, BEATS_MISSED * settings.exchange)
+            own,
+            self.clock,
+            max(SILENCE_LIMIT, MISSED_HEARTBEATS_LIMIT * settings.exchange),
         )
         self.rows = OwnRows(self.clock)
         self.metrics = Metrics()
@@ -133,7 +136,7 @@
         self.config_log = LogClient(self.http, settings.log, CONFIG_STREAM)
         self.follower = ConfigFollower(
             self.config_log,
-            self.configured,
+            self.apply_configuration,
             self._writes_checkpoints,
             settings.checkpoint,
         )
@@ -160,14 +163,14 @@
         self.link_fleet = LinkFleet(self.exchange, self.membership)
         self.containment = Containment(
             self.link_fleet,
-            self._registered,
+            self._endpoint_registration,
             Pulse(),
             probe,
-            NoRecords(),
+            DiscardingVerdictStore(),
             self._spawn,
         )
         self.exchange.on_datagram = self.containment.take
-        self.exchange.on_greeted = self._tell_verdicts
+        self.exchange.on_greeted = self._send_verdicts
         self.calls = CallHandler(
             settings,
             self.view,
@@ -176,7 +179,7 @@
             self.metrics,
             self.http,
             self.claims,
-            self._ask_owner,
+            self._request_outcome,
             self.containment,
         )
         self.edge = EdgeServer(
@@ -184,9 +187,10 @@
         ).register(self.root)
         self.calls.edge = self.edge
         self.leaving: set[str] = set()
-        #: Whether the fleet is so large that only routers near by are linked.
+        #: Whether the fleet has more routers than `settings.mesh_limit`; then only
+        #: routers of the same data centre are linked.
         self.large = False
-        #: RPC addresses of routers, as the platform lists them.
+        #: RPC addresses by router, from the instance list of the platform.
         self.peers: dict[str, Address] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.stopped = asyncio.Event()
@@ -202,13 +206,13 @@
             self._spawn(follow(self.claims.step))
             self._spawn(self.claims.append())
             self._spawn(self._watch_instances())
-            self._spawn(self._beat())
+            self._spawn(self._send_heartbeats())
             self._spawn(self.containment.keep_looking())
             self._spawn(LoadWatcher(self.http, self.view, self.exchange).watch())
             for seed in self.settings.seeds:
-                self._spawn(self._ask_hand_over(seed))
+                self._spawn(self._request_hand_over(seed))
             logger.info("router started", extra={"router": self.settings.router})
-            # For whoever let the system choose the ports.
+            # Reports the ports that the operating system assigned for port 0.
             print(f"listening {self.edge.server.port} {rpc.port}", flush=True)
             await self.stopped.wait()
             await self._close()
@@ -216,12 +220,12 @@
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._reap)
+        task.add_done_callback(self._on_task_done)
 
-    def _reap(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            # None of the tasks ends by itself: without it the router is of no use.
+            # A router can't work without any of its tasks, and none ends by itself.
             logger.error("a task failed", extra={"reason": repr(task.exception())})
             if self.membership.own.state is not PeerState.STOPPING:
                 self.begin_stop()
@@ -235,14 +239,14 @@
         self.root.pump()
         self.root.detach()
 
-    # Contents under which endpoints end
+    # Containment of contents that crash endpoints
 
-    def _registered(self, name: EndpointId) -> Endpoint | None:
-        known = self.view.endpoints.get(name)
-        return registration(known) if known is not None else None
+    def _endpoint_registration(self, name: EndpointId) -> Endpoint | None:
+        endpoint = self.view.endpoints.get(name)
+        return registration(endpoint) if endpoint is not None else None
 
-    def _tell_verdicts(self, link: Link) -> None:
-        """Tell a router that has just been linked what it can't know."""
+    def _send_verdicts(self, link: Link) -> None:
+        """Send the known verdicts to a router that has just been linked."""
         for verdict in self.containment.known_messages():
             self.link_fleet.send_on(link, verdict)
 
@@ -254,7 +258,10 @@
             loop.add_signal_handler(number, self.begin_stop)
 
     def begin_stop(self) -> None:
-        """Take no new work, finish what runs, then stop; again: stop at once."""
+        """Stop accepting requests, finish those in flight, then stop.
+
+        A second call stops the router at once.
+        """
         own = self.membership.own
         if own.state is PeerState.STOPPING:
             self.stopped.set()
@@ -269,18 +276,18 @@
     async def _finish(self) -> None:
         loop = asyncio.get_running_loop()
         end = loop.time() + self.settings.stop_grace
-        notice = loop.time() + STOP_NOTICE
-        while loop.time() < end and (self.calls.calls or loop.time() < notice):
+        notice_end = loop.time() + STOP_NOTICE_DURATION
+        while loop.time() < end and (self.calls.calls or loop.time() < notice_end):
             await asyncio.sleep(0.05)
         refusal = Refusal(ErrorKind.STOPPING, "the router had to stop")
         self.dispatcher.refuse_all(refusal)
-        await asyncio.sleep(LAST_ANSWERS)
+        await asyncio.sleep(FINAL_RESPONSES_DELAY)
         self.stopped.set()
 
     # Configuration and membership
 
-    def configured(self) -> None:
-        """Put the followed configuration in force."""
+    def apply_configuration(self) -> None:
+        """Apply the current configuration snapshot."""
         self.view.refresh(self.follower.snapshot)
         self.calls.ready = self.follower.state is ConfigState.KNOWN
         self.exchange.revision = self.follower.snapshot.through + 1
@@ -289,18 +296,18 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether new work is welcome."""
+        """Return whether the router accepts new requests."""
         return self.calls.ready and not self.calls.stopping
 
     def log_appends(self) -> int:
-        """Return the appends sent to the log since the start."""
+        """Return the number of appends sent to the log since the start."""
         return self.config_log.appends + self.claims_log.appends
 
     def _writes_checkpoints(self) -> bool:
         responsible = self.membership.responsible("checkpoint")
         return responsible == self.membership.own.router
 
-    async def _ask_hand_over(self, seed: Address) -> None:
+    async def _request_hand_over(self, seed: Address) -> None:
         async with grpc.aio.insecure_channel(
             str(seed), options=CHANNEL_OPTIONS
         ) as channel:
@@ -317,8 +324,13 @@
         if reply.snapshot:
             self.follower.adopt(unpack(reply.snapshot))
 
-    async def _ask_owner(self, claim: Claim, digest: bytes) -> peer_pb2.OutcomeReply:
-        """Ask the owner of a claim; an unknown outcome where it can't be asked."""
+    async def _request_outcome(
+        self, claim: Claim, digest: bytes
+    ) -> peer_pb2.OutcomeReply:
+        """Request the outcome of a claim from its owner.
+
+        Returns an empty reply, an unknown outcome, if the owner can't be reached.
+        """
         address = self.peers.get(claim.router)
         if address is None:
             return peer_pb2.OutcomeReply()
@@ -353,20 +365,20 @@
         self.claims.share_budget(len(routers))
         if (leaving, large) != (self.leaving, self.large):
             self.leaving, self.large = leaving, large
-            self.configured()
+            self.apply_configuration()
         self.peers = {item.id: Address(item.host, item.port) for item in routers}
         for item in routers:
             near = item.data_centre == self.settings.data_centre
-            # One side dials: the router with the lesser name.
+            # Only the router with the smaller name dials, so that a pair has one link.
             if self.settings.router < item.id and (near or not large):
                 self.links.dial(self.peers[item.id])
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(self.settings.exchange)
             self.exchange.beat()
 
-    # Callers
+    # HTTP requests
 
     def serve(self, request: Request, response: Response) -> None:
         """Serve one HTTP request."""
--- a/carawayfold/commands/forwarding.py
+++ b/carawayfold/commands/forwarding.py
@@ -1,8 +1,8 @@
-"""Starts a router that forwards, without what only other commands need.
+"""Starts a forwarding router without importing what only other commands need.
 
 ``python -m carawayfold.commands.forwarding SETTINGS`` does what ``carawayfold forward
-SETTINGS`` does. The command line of all commands takes 0.15 s of processor time to
-import, which an instance with a tenth of a core feels as 1.5 s without an answer.
+SETTINGS`` does. Importing the command line of all commands takes 0.15 s of processor
+time, which delays the start by 1.5 s on an instance with a tenth of a core.
 """
 
 from __future__ import annotations
@@ -18,26 +18,34 @@
 
 
 def start(path: Path) -> int:
-    """Run one router until it is stopped; return the exit code.
+    """Run one router until it is stopped.
 
     Parameters
     ----------
     path : Path
-        Its settings: JSON with comments.
+        Settings of the router: JSON with comments.
+
+    Returns
+    -------
+    int
+        Exit code of the process.
     """
     checked = gateway_settings.load(path)
     if checked.is_error():
-        for fault in checked.error:
-            print(fault, file=sys.stderr)
+        for message in checked.error:
+            print(message, file=sys.stderr)
         return BAD_SETTINGS
     output = logs.set_up_bounded(checked.ok.log_level)
-    reread = partial(gateway_settings.load, path)
-    asyncio.run(gateway.run(checked.ok, reread, lambda: output.left_out))
+    load_settings = partial(gateway_settings.load, path)
+    asyncio.run(gateway.run(checked.ok, load_settings, lambda: output.dropped))
     return 0
 
 
 def main(arguments: list[str]) -> int:
-    """Run the router whose settings the one argument names; return the exit code."""
+    """Run a router with the settings file given as the only argument.
+
+    Returns the exit code.
+    """
     if len(arguments) != 1 or arguments[0].startswith("-"):
         print("usage: carawayfold.commands.forwarding SETTINGS", file=sys.stderr)
         return BAD_USAGE
--- a/carawayfold/commands/logs.py
+++ b/carawayfold/commands/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one JSON object an event, bounded in volume and never blocking."""
+"""Log output: one JSON object per event, limited in rate and never blocking."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
     from logbook import Handler, LogRecord
 
-encoder = msgspec.json.Encoder(enc_hook=repr)
+json_encoder = msgspec.json.Encoder(enc_hook=repr)
 
-#: Lines a second that a router writes at most over a while: two lines a request at
-#: twice the requests a second of the busiest router that was measured.
-LINES_PER_SECOND = 200.0
-#: Lines that may come at once, and above which the least important are left out.
-LINES_AT_ONCE = 1000.0
-#: Lines that are kept for warnings and errors when others have used theirs up.
-KEPT_FOR_WARNINGS = 100.0
-#: Most bytes that wait for a reader that is slow.
-PENDING_LIMIT = 131072
+#: Most log lines per second in the long run: two lines per request at twice the
+#: request rate of the busiest router.
+MAX_LINES_PER_SECOND = 200.0
+#: Most lines in a burst; lines beyond it are dropped, those below warning first.
+MAX_BURST_LINES = 1000.0
+#: Lines of a burst reserved for warnings and errors.
+RESERVED_WARNING_LINES = 100.0
+#: Buffered bytes above which new lines are dropped while the reader is slow.
+MAX_PENDING_BYTES = 131072
 
 
 def format_record(record: LogRecord, _handler: Handler) -> str:
-    """Return a record as one line of JSON."""
+    """Return a record as a JSON object on one line."""
     fields = {
         "time": record.time.isoformat(timespec="milliseconds") + "Z",
         "level": record.level_name.lower(),
@@ -39,26 +39,26 @@
     }
     if record.exc_info:
         fields["trace"] = record.formatted_exception
-    return encoder.encode(fields).decode()
+    return json_encoder.encode(fields).decode()
 
 
 class BoundedOutput(logbook.Handler):
-    """Writes to a file descriptor without ever waiting for its reader.
+    """Log handler that writes to a file descriptor without blocking on its reader.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; set to not block.
+        Where to write; made non-blocking.
     level : str
-        Least level written.
+        Lowest level written.
     clock : callable
-        Returns monotonic seconds.
+        Returns the monotonic time in seconds.
 
     Attributes
     ----------
-    left_out : int
-        Lines left out since the start, because there were too many or the reader
-        was too slow. The next line that is written says how many were before it.
+    dropped : int
+        Lines dropped since the start, because of the rate limit or a slow reader. The
+        next line written has the number dropped before it.
     """
 
     def __init__(
@@ -71,30 +71,30 @@
         os.set_blocking(descriptor, False)
         self.descriptor = descriptor
         self.clock = clock
-        self.allowance = LINES_AT_ONCE
-        self.refilled = clock()
+        self.allowance = MAX_BURST_LINES
+        self.refilled_at = clock()
         self.pending = bytearray()
-        self.left_out = 0
-        self.told = 0
+        self.dropped = 0
+        self.reported = 0
 
     def emit(self, record: LogRecord) -> None:
-        """Write a record if the bounds allow it."""
+        """Write a record, or drop it if the rate or the buffer is exceeded."""
         if not self._allows(record.level >= logbook.WARNING):
-            self.left_out += 1
+            self.dropped += 1
             return
-        if self.left_out > self.told:
-            record.extra["left_out_before"] = self.left_out - self.told
-            self.told = self.left_out
+        if self.dropped > self.reported:
+            record.extra["left_out_before"] = self.dropped - self.reported
+            self.reported = self.dropped
         self.pending += format_record(record, self).encode() + b"\n"
         self._flush()
 
     def _allows(self, important: bool) -> bool:
         now = self.clock()
-        earned = (now - self.refilled) * LINES_PER_SECOND
-        self.allowance = min(LINES_AT_ONCE, self.allowance + earned)
-        self.refilled = now
-        least = 1.0 if important else KEPT_FOR_WARNINGS
-        if self.allowance < least or len(self.pending) > PENDING_LIMIT:
+        refill = (now - self.refilled_at) * MAX_LINES_PER_SECOND
+        self.allowance = min(MAX_BURST_LINES, self.allowance + refill)
+        self.refilled_at = now
+        required = 1.0 if important else RESERVED_WARNING_LINES
+        if self.allowance < required or len(self.pending) > MAX_PENDING_BYTES:
             return False
         self.allowance -= 1.0
         return True
@@ -105,8 +105,8 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; there is nowhere to say so.
-            self.left_out += self.pending.count(b"\n")
+            # The reader has closed the descriptor; there is nowhere to report this.
+            self.dropped += self.pending.count(b"\n")
             written = len(self.pending)
         del self.pending[:written]
 
@@ -119,7 +119,10 @@
 
 
 def set_up_bounded(level: str) -> BoundedOutput:
-    """Write log lines of `level` and above to standard output, within bounds."""
+    """Write log lines of `level` and above to standard output, limited in rate.
+
+    Never blocks; see `BoundedOutput`.
+    """
     handler = BoundedOutput(sys.stdout.fileno(), level)
     handler.push_application()
     return handler
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -1,4 +1,4 @@
-"""The application object of a router that forwards: wires its parts and runs them."""
+"""Application object of a forwarding router: connects its components and runs them."""
 
 from __future__ import annotations
 
@@ -61,47 +61,48 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds after the signal to stop for which new connections are still served: the
-#: balancer asks once a second and needs two misses.
-STOP_NOTICE = 2.6
-#: Seconds before the end of the grace period at which what still runs is cut.
+#: Seconds after the stop signal during which new connections are still served: the
+#: load balancer checks readiness once a second and removes a router after two
+#: failed checks.
+STOP_NOTICE_DURATION = 2.6
+#: Seconds before the end of the grace period at which remaining requests are aborted.
 STOP_MARGIN = 0.6
-#: Seconds between looks at whether everything is finished.
-FINISH_INTERVAL = 0.05
-#: Seconds for the last answers to be sent.
-LAST_ANSWERS = 0.1
-#: Seconds added to the idle timeout that callers know, so that a request and the
-#: close of its connection don't cross.
+#: Seconds between checks whether all requests have finished during a stop.
+STOP_POLL_INTERVAL = 0.05
+#: Seconds that the last responses have to be sent before the router closes.
+FINAL_RESPONSES_DELAY = 0.1
+#: Seconds added to the idle timeout published to callers, so that the router does
+#: not close a connection while a request is on its way.
 IDLE_MARGIN = 1.0
-#: Seconds between looks at idle connections.
-IDLE_INTERVAL = 1.0
-#: Seconds between looks at how late the loop runs.
+#: Seconds between checks for idle connections to close.
+IDLE_CHECK_INTERVAL = 1.0
+#: Seconds between samples of the event loop delay.
 PRESSURE_INTERVAL = 0.05
-#: The same while no request is under way.
+#: Seconds between samples while no request is in flight.
 IDLE_PRESSURE_INTERVAL = 0.2
 
 
 class Gateway:
-    """One router that forwards.
+    """One forwarding router.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
-    reread : callable
-        Reads and checks the settings again.
+        Validated settings.
+    load_settings : callable
+        Reads and validates the settings again; returns them, or a list of errors.
     log_lines_left_out : callable
-        Returns how many log lines were left out.
+        Returns the number of log lines dropped since the start.
     """
 
     def __init__(
         self,
         settings: GatewaySettings,
-        reread: Callable[[], Result[GatewaySettings, list[str]]],
+        load_settings: Callable[[], Result[GatewaySettings, list[str]]],
         log_lines_left_out: Callable[[], int],
     ) -> None:
         self.settings = settings
-        self.reread = reread
+        self.load_settings = load_settings
         self.log_lines_left_out = log_lines_left_out
         loop = asyncio.get_running_loop()
         self.root = Root()
@@ -115,18 +116,18 @@
             processor=settings.processor,
         )
         self.socket = PeerSocket(settings.router, incarnation, self._on_datagram)
-        self.fleet = Fleet(self.socket, own, self._beat, self._fleet_changed)
-        self.desk = Desk(self.fleet, settings.share_window, self._basis)
+        self.fleet = Fleet(self.socket, own, self._build_heartbeat, self._fleet_changed)
+        self.desk = Desk(self.fleet, settings.share_window, self._offer_basis)
         self.caches = CacheReader(EngineClient(self.http), self.desk, self._spawn)
         self.store = StoreClient(self.http, settings.store)
         self.directory = StoreDirectory(self.store)
-        #: Set when the store has come back from a copy.
-        self.copied = asyncio.Event()
+        #: Set when the store has been restored from a copy.
+        self.store_restored = asyncio.Event()
         self.knowledge = Knowledge(
             self._on_routes,
             self._on_endpoints,
             self._store_changed,
-            self.copied.set,
+            self.store_restored.set,
             lambda: self.anti_entropy.information_age(),
         )
         self.anti_entropy = AntiEntropy(self.fleet, self.knowledge, self.http)
@@ -164,14 +165,14 @@
         self.front.refuses = self.pressure.refuses
         self.front.on_shed = self.shed.note
         self.checks = self._listen(settings.ready_listen, self._serve_check, "checks")
-        self.inner = self._listen(settings.peer_listen, self._serve_peer, "inner")
+        self.peer_edge = self._listen(settings.peer_listen, self._serve_peer, "inner")
         self.tasks: set[asyncio.Task[None]] = set()
         self.stopped = asyncio.Event()
 
     def _listen(
-        self, address: Address, serve: object, channel: str, **named: str
+        self, address: Address, serve: object, listener: str, **options: str
     ) -> Edge:
-        return Edge(address, serve, channel, **named).register(self.root)
+        return Edge(address, serve, listener, **options).register(self.root)
 
     async def run(self) -> None:
         """Run until the router has been stopped."""
@@ -180,21 +181,23 @@
         self._handle_signals()
         self._spawn(self._follow_store())
         learn = self.containment.learn_records
-        entry = self._entry()
-        joining = directory.join(self.directory, entry, self.fleet, learn, self.copied)
+        entry = self._peer_entry()
+        joining = directory.join(
+            self.directory, entry, self.fleet, learn, self.store_restored
+        )
         self._spawn(joining)
         self._spawn(self.fleet.keep_beating())
         self._spawn(self.desk.keep_telling())
         self._spawn(self.containment.keep_looking())
         self._spawn(self.anti_entropy.keep_asking())
         self._spawn(self.notices.keep_telling())
-        self._spawn(self._keep_tidy())
-        self._spawn(self._keep_measuring())
+        self._spawn(self._close_idle_periodically())
+        self._spawn(self._sample_loop_delay())
         logger.info("router started", extra={"router": self.settings.router})
         await self.stopped.wait()
         await self._close()
 
-    def _entry(self) -> PeerEntry:
+    def _peer_entry(self) -> PeerEntry:
         own = self.settings
         return PeerEntry(
             own.router,
@@ -205,21 +208,21 @@
         )
 
     async def _follow_store(self) -> None:
-        """Learn everything from peers or the store, then follow the store."""
+        """Load the initial state from peers or the store, then follow the store."""
         await self.anti_entropy.adopt()
-        known, peers = self.knowledge, self.anti_entropy
+        knowledge, peers = self.knowledge, self.anti_entropy
         operators = operator_source(self.store)
         endpoints = endpoint_source(self.store)
         follow_operators = followers.follow_operators(
             operators,
-            known,
+            knowledge,
             peers.operators_turn,
             peers.reads_for_others,
             peers.silent_pause,
         )
         follow_endpoints = followers.follow_endpoints(
             endpoints,
-            known,
+            knowledge,
             peers.turn,
             peers.reads_for_others,
             peers.silent_pause,
@@ -227,14 +230,14 @@
         self._spawn(follow_operators.follow())
         self._spawn(follow_endpoints.follow())
 
-    async def _keep_tidy(self) -> None:
+    async def _close_idle_periodically(self) -> None:
         while True:
-            await asyncio.sleep(IDLE_INTERVAL)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL)
             self.http.close_idle()
             self.root.wake()
 
-    async def _keep_measuring(self) -> None:
-        """Measure for ever how late the loop runs."""
+    async def _sample_loop_delay(self) -> None:
+        """Sample the delay of the event loop until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             idle = not self.forwarder.calls and not self.pressure.part
@@ -261,9 +264,9 @@
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._reap)
+        task.add_done_callback(self._on_task_done)
 
-    def _reap(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.error("a task failed", extra={"reason": repr(task.exception())})
@@ -276,7 +279,7 @@
         self.socket.flush_all()
         self.socket.close()
         self.http.close_all()
-        for edge in (self.front, self.checks, self.inner):
+        for edge in (self.front, self.checks, self.peer_edge):
             edge.server.close()
         self.root.pump()
         self.root.detach()
@@ -290,20 +293,23 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload)
 
     def _reload(self) -> None:
-        """Read the settings again; addresses and names hold until the next start."""
-        read = self.reread()
+        """Reload the settings; changed addresses and names need a restart."""
+        read = self.load_settings()
         if read.is_error():
             logger.warning("settings not taken", extra={"faults": read.error})
             return
-        taken = read.ok
-        self.forwarder.budget.bounds = taken.budget
+        reloaded = read.ok
+        self.forwarder.budget.bounds = reloaded.budget
         self.settings = msgspec.structs.replace(
-            self.settings, stop_grace=taken.stop_grace
+            self.settings, stop_grace=reloaded.stop_grace
         )
-        logger.info("settings taken", extra={"stop_grace": taken.stop_grace})
+        logger.info("settings taken", extra={"stop_grace": reloaded.stop_grace})
 
     def begin_stop(self) -> None:
-        """Take no new work, finish what runs, then stop; again: stop at once."""
+        """Stop accepting requests, finish those in flight, then stop.
+
+        A second call stops the router at once.
+        """
         if self.fleet.own.state is PeerState.STOPPING:
             self.stopped.set()
             return
@@ -316,18 +322,18 @@
         loop = asyncio.get_running_loop()
         start = loop.time()
         end = start + self.settings.stop_grace - STOP_MARGIN
-        await asyncio.sleep(min(STOP_NOTICE, max(0.0, end - loop.time())))
-        # Later work could not be finished before the kill.
+        await asyncio.sleep(min(STOP_NOTICE_DURATION, max(0.0, end - loop.time())))
+        # A request accepted later could not finish before the process is killed.
         self.front.shut()
         while loop.time() < end and (self.forwarder.calls or self.front.connections):
-            await asyncio.sleep(FINISH_INTERVAL)
+            await asyncio.sleep(STOP_POLL_INTERVAL)
             self.front.close_idle()
-        await asyncio.sleep(LAST_ANSWERS)
+        await asyncio.sleep(FINAL_RESPONSES_DELAY)
         self.stopped.set()
 
-    # What the router knows
+    # Heartbeats and state updates
 
-    def _beat(self) -> Beat:
+    def _build_heartbeat(self) -> Beat:
         return Beat(
             self.settings.data_centre,
             self.fleet.own.state is PeerState.STOPPING,
@@ -341,16 +347,16 @@
             operators_age=round(self.anti_entropy.operators_age() * 1000),
         )
 
-    def _basis(self) -> Basis:
+    def _offer_basis(self) -> Basis:
         age = asyncio.get_running_loop().time() - self.anti_entropy.known_at
         return Basis(self.settings.router, self.knowledge.endpoints.offset, age)
 
     def _on_datagram(self, datagram: Datagram, source: Address) -> None:
         if datagram.sender == self.settings.router:
             return
-        could_tell = can_tell(self.fleet, datagram.sender)
+        was_current = can_tell(self.fleet, datagram.sender)
         self.fleet.take(datagram, source)
-        if can_tell(self.fleet, datagram.sender) is not could_tell:
+        if can_tell(self.fleet, datagram.sender) is not was_current:
             self.anti_entropy.wake()
         self.desk.take(datagram)
         self.containment.take(datagram)
@@ -363,7 +369,7 @@
         self.caches.look()
 
     def _store_changed(self) -> None:
-        # Another router reads in its place from now on, or no longer.
+        # The reader role passes to another router, or returns to this one.
         self.fleet.tell_near()
         self.anti_entropy.wake()
 
@@ -380,26 +386,28 @@
         self._on_endpoints()
 
     def _on_endpoints(self) -> None:
-        # Peers that read through this router should know at once.
+        # Peers that read the store through this router get the update immediately.
         self.fleet.tell_near()
         if self.knowledge.routes is not None:
-            known = self.knowledge
-            evacuated = known.evacuations.active
-            gone = self.desk.refresh(known.endpoints, known.routes, evacuated)
-            for endpoint in gone:
+            knowledge = self.knowledge
+            evacuated = knowledge.evacuations.active
+            removed = self.desk.refresh(
+                knowledge.endpoints, knowledge.routes, evacuated
+            )
+            for endpoint in removed:
                 self.http.drop_idle(endpoint.address)
                 self.containment.endpoint_gone(endpoint)
             self.forwarder.withdraw_barred()
             self.caches.look()
 
     def is_ready(self) -> bool:
-        """Return whether new connections are welcome."""
+        """Return whether the router accepts new connections."""
         if self.fleet.own.state is PeerState.STOPPING:
             return False
         busy = self.pressure.is_busy(asyncio.get_running_loop().time())
         return self.knowledge.complete and not busy
 
-    # Checks and peers
+    # Readiness checks and requests of peers
 
     def _serve_check(self, incoming: Incoming) -> None:
         incoming.answer(200 if self.is_ready() else 503, [])
@@ -414,8 +422,8 @@
             incoming.answer(200, [], msgspec.msgpack.encode(self.knowledge.snapshot()))
         elif path == anti_entropy.EVACUATIONS_PATH and self.knowledge.evacuations.known:
             now = asyncio.get_running_loop().time()
-            told = self.knowledge.evacuations.snapshot(now)
-            incoming.answer(200, [], msgspec.msgpack.encode(told))
+            snapshot = self.knowledge.evacuations.snapshot(now)
+            incoming.answer(200, [], msgspec.msgpack.encode(snapshot))
         elif path.startswith(quarantine_list.LIST_PATH):
             self._serve_quarantine(incoming, path)
         else:
@@ -427,26 +435,29 @@
             incoming.answer(200 if self.containment.lift(content) else 404, [])
         elif incoming.method == b"GET" and path == quarantine_list.LIST_PATH:
             now = asyncio.get_running_loop().time()
-            known = self.containment.quarantine
-            kind = [("Content-Type", "application/json")]
-            incoming.answer(200, kind, quarantine_list.encode(known, now))
+            quarantine = self.containment.quarantine
+            headers = [("Content-Type", "application/json")]
+            incoming.answer(200, headers, quarantine_list.encode(quarantine, now))
         else:
             incoming.answer(404, [])
 
     def _serve_metrics(self, incoming: Incoming) -> None:
-        # Imported at the first question, so that a router starts sooner.
+        # Imported at the first scrape to shorten the start of a router.
         from carawayfold.protocol import forward_exposition
 
-        kind = [("Content-Type", forward_exposition.CONTENT_TYPE)]
-        incoming.answer(200, kind, forward_exposition.render(self))
+        headers = [("Content-Type", forward_exposition.CONTENT_TYPE)]
+        incoming.answer(200, headers, forward_exposition.render(self))
 
 
 async def run(
     settings: GatewaySettings,
-    reread: Callable[[], Result[GatewaySettings, list[str]]],
+    load_settings: Callable[[], Result[GatewaySettings, list[str]]],
     log_lines_left_out: Callable[[], int],
 ) -> None:
-    """Run one router that forwards until it is stopped; see `Gateway`."""
-    gateway = Gateway(settings, reread, log_lines_left_out)
+    """Run one forwarding router until it is stopped.
+
+    The parameters are those of `Gateway`.
+    """
+    gateway = Gateway(settings, load_settings, log_lines_left_out)
     with contextlib.suppress(asyncio.CancelledError):
         await gateway.run()
