--- a/carawayfold/platform/__init__.py
+++ b/carawayfold/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls; nothing here decides."""
+"""Adapter to the users' platform: its names, formats and calls, without any policy."""
--- a/carawayfold/platform/engines.py
+++ b/carawayfold/platform/engines.py
@@ -1,4 +1,4 @@
-"""What model engines tell of their caches."""
+"""Client that lists the prompt caches of model engines."""
 
 from __future__ import annotations
 
@@ -15,16 +15,23 @@
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.transport.client import HttpClient
 
-KEPT_PATH = "/kv-list"
-#: Seconds for an answer: the list is ready at once, a busy engine sends it within
-#: tens of milliseconds.
+#: Path of the list of cached prompt parts.
+CACHE_LIST_PATH = "/kv-list"
+#: Seconds to wait for a response: engines keep the list ready, and a busy one sends
+#: it within tens of milliseconds.
 TIMEOUT = 0.5
 
 
-class WireKept(msgspec.Struct):
-    """Answer with the parts kept: rows of an empty text, id, tokens and model.
+class WireCacheList(msgspec.Struct):
+    """Response with the cached parts.
 
-    ``born`` is the start of the engine that answers, where it says so.
+    Attributes
+    ----------
+    held : list of tuple
+        One row for each part: an empty string, its id, its tokens and the model.
+    born : int
+        Incarnation of the responding engine, the Unix millisecond of its start; 0 if
+        the engine does not report it.
     """
 
     held: list[tuple[str, str, int, str]]
@@ -32,26 +39,35 @@
 
 
 class EngineClient:
-    """Implements `carawayfold.protocol.sources.CacheSource`."""
+    """Cache source that queries engines over HTTP.
+
+    Implements `carawayfold.protocol.sources.CacheSource`.
+
+    Parameters
+    ----------
+    http : HttpClient
+        Client for the requests.
+    """
 
     def __init__(self, http: HttpClient) -> None:
         self.http = http
 
     async def kept(self, endpoint: Endpoint) -> list[Part]:
-        """Return the parts of prompts that an engine keeps.
+        """Return the prompt parts that an engine has cached.
 
         Raises
         ------
         SourceError
-            If it does not say.
+            If the request fails, the response is invalid, or another incarnation of
+            the endpoint responds.
         """
         try:
             answer = await self.http.fetch(
-                endpoint.address, "GET", KEPT_PATH, timeout=TIMEOUT
+                endpoint.address, "GET", CACHE_LIST_PATH, timeout=TIMEOUT
             )
             if answer.head.status != 200:
                 raise SourceError(f"status {answer.head.status}")
-            listed = msgspec.json.decode(answer.body, type=WireKept)
+            listed = msgspec.json.decode(answer.body, type=WireCacheList)
         except (ExchangeError, msgspec.MsgspecError) as error:
             raise SourceError(str(error)) from error
         if listed.born and listed.born != endpoint.incarnation:
--- a/carawayfold/platform/headers.py
+++ b/carawayfold/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers as callers and endpoints spell them."""
+"""HTTP headers of the platform, for callers and endpoints."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.transport.client import Head
 
+# Names of headers. Those read from requests and responses are in lower case.
 REQUEST_ID = "request-id"
 TIME_LEFT = "request-deadline"
 API_KEY = "x-api-key"
@@ -29,13 +30,14 @@
 LOAD = "server-load"
 LEAVING = "server-leaving"
 RETRY_AFTER = "Retry-After"
+#: Status of an endpoint that has taken over the address of the expected one.
 MISDIRECTED = 421
-#: Status with which an endpoint may ask for rest.
+#: Status with which an endpoint may request a backoff.
 BUSY = 503
-#: A number of seconds; dates and words are none.
+#: Decimal seconds of a ``Retry-After`` header; HTTP dates are not supported.
 SECONDS = re.compile(r"[0-9]+(\.[0-9]+)?", re.ASCII)
 
-#: Headers that concern one connection only.
+#: Headers that apply to one connection only and are not forwarded.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -51,8 +53,9 @@
         "expect",
     }
 )
-#: Headers that are the system's to set, never a caller's.
-OWN = frozenset(
+#: Request headers that only the routers may set; they are removed from the requests
+#: of callers.
+ROUTER_REQUEST_HEADERS = frozenset(
     {
         API_KEY,
         ORGANISATION,
@@ -66,20 +69,23 @@
         COPY_FROM,
     }
 )
-#: Headers of an answer that speak to the system only.
-ENDPOINTS_OWN = frozenset({LOAD, NOT_RUN})
+#: Response headers meant for the routers only; callers do not receive them.
+ROUTER_RESPONSE_HEADERS = frozenset({LOAD, NOT_RUN})
 
 
 class PlatformDialect:
-    """Implements `carawayfold.protocol.exchanges.Dialect`."""
+    """Reads and writes the headers of the platform.
+
+    Implements `carawayfold.protocol.exchanges.Dialect`.
+    """
 
     def read_request(self, headers: list[tuple[bytes, bytes]]) -> Asked:
-        """Return what a request's headers say.
+        """Return the fields decoded from the headers of a request.
 
         Raises
         ------
         Refusal
-            If they contradict themselves.
+            If the request id, API key or deadline header occurs more than once.
         """
         pairs = [
             (name.decode("latin-1"), value.decode("latin-1")) for name, value in headers
@@ -89,7 +95,7 @@
             if name in values and name in (REQUEST_ID, API_KEY, TIME_LEFT):
                 raise Refusal(ErrorKind.MALFORMED_REQUEST, f"two {name} headers")
             values[name] = value
-        prompt_tokens, output_tokens = _usage(values.get(TOKENS, ""))
+        prompt_tokens, output_tokens = _token_usage(values.get(TOKENS, ""))
         estimate = values.get(OUTPUT_ESTIMATE, "")
         return Asked(
             id=RequestId(values.get(REQUEST_ID, "")),
@@ -101,7 +107,7 @@
             prompt_tokens=prompt_tokens,
             output_tokens=output_tokens,
             expected_output=int(estimate) if estimate.isdigit() else output_tokens,
-            forwarded=_end_to_end(pairs, OWN),
+            forwarded=_end_to_end(pairs, ROUTER_REQUEST_HEADERS),
         )
 
     def request_headers(
@@ -113,7 +119,10 @@
         resume_after: int | None,
         donor: Endpoint | None = None,
     ) -> HeaderList:
-        """Return the headers of a request to `endpoint`; see `Dialect`."""
+        """Return the headers of a request to `endpoint`; see `Dialect`.
+
+        `time_left` is in seconds.
+        """
         headers = list(asked.forwarded)
         headers.append((TIME_LEFT, str(max(1, int(time_left * 1000)))))
         headers.append((EXPECTED_ENDPOINT, endpoint.name))
@@ -126,24 +135,24 @@
         return headers
 
     def answers(self, asked: Asked, head: Head) -> bool:
-        """Return whether an answer's head belongs to the request."""
+        """Return whether a response head has the id of the request, or none."""
         return head.headers.get(REQUEST_ID, asked.id) == asked.id
 
     def read_answer(self, head: Head) -> Answered:
-        """Return what an answer's head says."""
+        """Return the fields decoded from the head of a response."""
         return Answered(
             status=head.status,
             not_run=NOT_RUN in head.headers or head.status == MISDIRECTED,
             misdirected=head.status == MISDIRECTED,
             signed=SIGNATURE in head.headers,
             load=_load(head.headers.get(LOAD, "")),
-            forwarded=_end_to_end(head.fields, ENDPOINTS_OWN),
+            forwarded=_end_to_end(head.fields, ROUTER_RESPONSE_HEADERS),
             leaving=_leaving(head),
-            rest=_rest(head),
+            rest=_requested_backoff(head),
         )
 
     def refusal_headers(self, asked: Asked | None, refusal: Refusal) -> HeaderList:
-        """Return the headers of an answer that refuses a request."""
+        """Return the headers of a response that rejects a request."""
         headers: HeaderList = []
         if asked is not None and asked.id:
             headers.append((REQUEST_ID, asked.id))
@@ -152,8 +161,8 @@
         return headers
 
 
-def _end_to_end(pairs: HeaderList, left_out: frozenset[str]) -> HeaderList:
-    named = {
+def _end_to_end(pairs: HeaderList, excluded: frozenset[str]) -> HeaderList:
+    connection_headers = {
         token.strip().lower()
         for name, value in pairs
         if name == "connection"
@@ -162,7 +171,9 @@
     return [
         (name, value)
         for name, value in pairs
-        if name not in HOP_BY_HOP and name not in left_out and name not in named
+        if name not in HOP_BY_HOP
+        and name not in excluded
+        and name not in connection_headers
     ]
 
 
@@ -175,7 +186,7 @@
     return int(text) if text is not None and text.isdigit() else None
 
 
-def _usage(text: str) -> tuple[int, int]:
+def _token_usage(text: str) -> tuple[int, int]:
     prompt, _, output = text.partition(",")
     if prompt.isdigit() and output.isdigit():
         return int(prompt), int(output)
@@ -192,13 +203,17 @@
 
 
 def _leaving(head: Head) -> bool:
-    """Return whether an endpoint says that it leaves; another owner's word is none."""
-    said = "1" in (value.strip() for name, value in head.fields if name == LEAVING)
-    return said and head.status != MISDIRECTED
+    """Return whether an endpoint announces that it shuts down.
+
+    A misdirected response comes from another endpoint at the same address and does
+    not count.
+    """
+    announced = "1" in (value.strip() for name, value in head.fields if name == LEAVING)
+    return announced and head.status != MISDIRECTED
 
 
-def _rest(head: Head) -> float:
-    """Return the longest time of rest that an answer asks for, 0 for none."""
+def _requested_backoff(head: Head) -> float:
+    """Return the longest backoff in seconds that a response requests, 0 for none."""
     if head.status != BUSY:
         return 0.0
     name = RETRY_AFTER.lower()
--- a/carawayfold/platform/records.py
+++ b/carawayfold/platform/records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store, decoded into the project's types."""
+"""Decoding of the platform's store records into the project's types."""
 
 from __future__ import annotations
 
@@ -28,12 +28,13 @@
     WeightedService,
 )
 
-#: Rank of a route or organisation that names none.
+#: Priority of a route or organisation whose record has none.
 DEFAULT_PRIORITY = 1
-#: Ports that an address may have.
-PORTS = range(1, 65536)
+#: Valid ports of an address.
+VALID_PORTS = range(1, 65536)
 
-KINDS = {
+#: Route kinds by their names in records.
+ROUTE_KINDS = {
     "streaming": RouteKind.STREAMING,
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
@@ -48,7 +49,7 @@
 
 
 class WireRoute(msgspec.Struct):
-    """A route; it names one service, or several with weights."""
+    """A route to one service, or to several with weights."""
 
     name: str
     host: str
@@ -67,13 +68,13 @@
 
 
 class WireEngine(msgspec.Struct):
-    """What a service of model engines adds."""
+    """Additional fields of a service of model engines."""
 
     kv_capacity_tokens: int = 0
 
 
 class WireService(msgspec.Struct):
-    """A service."""
+    """A service; ``cold_per_s`` is its warm-up rate per second."""
 
     name: str
     health_path: str = "/"
@@ -83,7 +84,7 @@
 
 
 class WireLimits(msgspec.Struct):
-    """Limits on callers, and the throughput of the engines together."""
+    """Limits on callers, and the total throughput of the engines in tokens/s."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
@@ -93,7 +94,7 @@
 
 
 class WireTenant(msgspec.Struct):
-    """An organisation and its keys."""
+    """An organisation and its API keys."""
 
     name: str
     api_keys: list[str] = []
@@ -102,7 +103,7 @@
 
 
 class WireConfig(msgspec.Struct):
-    """A whole configuration."""
+    """A complete configuration."""
 
     version: int
     routes: list[WireRoute] = []
@@ -112,17 +113,18 @@
 
 
 class WireState(Enum):
-    """What an endpoint says of itself."""
+    """State that an endpoint registers for itself."""
 
     ACTIVE = "active"
     DRAINING = "draining"
 
 
 class WireEntry(msgspec.Struct):
-    """An endpoint's registration.
+    """Registration of an endpoint.
 
-    ``cold_remaining_ms`` counts from when the entry was written; ``born`` is the
-    Unix millisecond of the endpoint's start, which some deployments leave out.
+    ``cold_remaining_ms`` is the remaining warm-up in milliseconds when the entry was
+    written. ``born`` is the Unix millisecond of the endpoint's start; it is 0 in
+    deployments that omit it.
     """
 
     service: str
@@ -137,12 +139,12 @@
 
 
 def decode_routes(data: bytes) -> RouteTable:
-    """Return the configuration that a record holds.
+    """Return the configuration decoded from a record.
 
     Raises
     ------
     SourceError
-        If the record is no configuration.
+        If the record is not a valid configuration.
     """
     wire = _decode(data, WireConfig)
     return RouteTable(
@@ -170,10 +172,12 @@
 def decode_endpoint(name: str, data: bytes, now: float) -> Endpoint:
     """Return the endpoint registered under `name`.
 
+    `now` is the time of the read in seconds of the event loop clock.
+
     Raises
     ------
     SourceError
-        If the record is no registration.
+        If the record is not a valid registration.
     """
     wire = _decode(data, WireEntry)
     return Endpoint(
@@ -195,7 +199,7 @@
         IPv4Address(address.host)
     except ValueError as error:
         raise SourceError(str(error)) from None
-    if address.port not in PORTS:
+    if address.port not in VALID_PORTS:
         raise SourceError(f"no port: {address.port}")
     return address
 
@@ -206,7 +210,7 @@
         id=RouteId(wire.name),
         host=wire.host.lower(),
         prefix=wire.path_prefix.encode(),
-        kind=KINDS.get(wire.route_kind, RouteKind.NON_IDEMPOTENT),
+        kind=ROUTE_KINDS.get(wire.route_kind, RouteKind.NON_IDEMPOTENT),
         services=tuple(
             WeightedService(ServiceId(item.service), item.weight) for item in services
         ),
--- a/carawayfold/platform/store.py
+++ b/carawayfold/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store, and the sources that read it."""
+"""Client of the platform's store, and the sources that read from it."""
 
 from __future__ import annotations
 
@@ -38,38 +38,43 @@
 
 T = TypeVar("T")
 
-#: Topics whose records have keys; of each key the newest record is kept.
+#: Compacted topics: the store retains the newest record of each key.
 CONFIG_TOPIC = "keyed.op"
 ENDPOINT_TOPIC = "keyed.servers"
 PEER_TOPIC = "keyed.routers"
+#: Key of the operators' configuration.
 CONFIG_KEY = "config"
-#: What the key of an evacuated data centre begins with.
-EVACUATION_KEY = "evacuate/"
-#: What the key of a refused content begins with; names of routers hold no slash.
-CONTENT_KEY = "content/"
-#: The only partition of these topics.
+#: Prefix of the keys of evacuated data centres.
+EVACUATION_KEY_PREFIX = "evacuate/"
+#: Prefix of the keys of quarantined contents; router names contain no slash, so that
+#: the two can't collide.
+CONTENT_KEY_PREFIX = "content/"
+#: The single partition of these topics.
 PARTITION = 0
-#: Header of every answer that counts how often the store came back from a copy.
+#: Response header with the era: how often the store has been restored from a copy.
 ERA_HEADER = "store-era"
-#: Seconds after which an unanswered call is given up: an answer takes 4 ms, and a
-#: connection on which one is lost stays silent for good.
+#: Seconds to wait for a response: a call takes 4 ms, and a connection that has lost a
+#: response never delivers another one.
 TIMEOUT = 1.0
-#: The same for a read, after the time that it waits for records.
-READ_GRACE = 0.6
-#: Before the records of an answer: its end and its first retained offset.
-READ_HEAD = struct.Struct(">QQ")
-RECORD_HEAD = struct.Struct(">I")
-#: Keys of unreadable records that are remembered, so that one which is written
-#: again and again is logged once.
-UNREADABLE_KEPT = 200
-#: Bytes of a key, and of the reason, that a log line holds.
-LOGGED_LENGTH = 200
+#: Seconds to wait for the response of a read beyond the time that the store itself
+#: waits for records.
+READ_TIMEOUT_MARGIN = 0.6
+#: Header of a read response: its end offset and the first retained offset.
+READ_HEADER = struct.Struct(">QQ")
+#: Header of a record: its size in bytes.
+RECORD_HEADER = struct.Struct(">I")
+#: Most keys of unreadable records to remember; each is logged once however often the
+#: record is rewritten.
+MAX_REMEMBERED_KEYS = 200
+#: Most characters of a key, and of the reason, in a log line.
+MAX_LOGGED_LENGTH = 200
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One record of a topic with keys; `value` is None where the key was dropped.
+    """One record of a compacted topic; `value` is None where the key was removed.
 
-    Bytes of a key that are no text are kept as escapes, so that they match no key.
+    Bytes of a key that are not valid UTF-8 are replaced by backslash escapes, so that
+    the key matches no valid one.
     """
 
     key: str
@@ -77,14 +82,14 @@
 
 
 class StoreAnswer(msgspec.Struct, frozen=True):
-    """What the store answered, and how often it had come back from a copy by then."""
+    """Response body of the store, and the store's era at that time."""
 
     era: int
     body: bytes
 
 
 class WireEntry(msgspec.Struct):
-    """One row of the newest records; its value is in base64."""
+    """One row of a list of newest records; its value is base64-encoded."""
 
     key: str
     value: str
@@ -92,7 +97,7 @@
 
 
 class WireNewest(msgspec.Struct):
-    """Answer with the newest record of each key; `end` is where to read on."""
+    """Response with the newest record of each key; reads continue from `end`."""
 
     entries: list[WireEntry]
     end: int
@@ -100,12 +105,22 @@
 
 
 class StoreClient:
-    """Calls of the store.
+    """HTTP client of the store.
+
+    Every call raises `SourceError` if it fails, and `NoAnswer`, one of its kinds, if
+    the store does not respond in time.
+
+    Parameters
+    ----------
+    http : HttpClient
+        Client for the requests.
+    address : Address
+        Address of the store.
 
     Attributes
     ----------
     calls : int
-        Calls made since the start; each one costs.
+        Number of calls since the start; each one has a cost.
     """
 
     def __init__(self, http: HttpClient, address: Address) -> None:
@@ -114,13 +129,19 @@
         self.calls = 0
 
     async def newest(self, topic: str) -> Page[Record]:
-        """Return the newest record of each key of `topic`."""
+        """Return the newest record of each key of `topic`.
+
+        Raises
+        ------
+        HistoryLost
+            If the store is restored from a copy between two pages of the list.
+        """
         found: list[Record] = []
         first_end: Position | None = None
         after = ""
         while True:
             path = f"/log-newest?topic={topic}&part={PARTITION}"
-            answer = await self._ask("GET", f"{path}{after}")
+            answer = await self._call("GET", f"{path}{after}")
             page = _decode_newest(answer.body)
             if first_end is None:
                 first_end = position(answer.era, page.end)
@@ -137,27 +158,27 @@
         Raises
         ------
         HistoryLost
-            If they are no longer kept, or if the store has come back from a copy: its
-            offsets then tell nothing of records from before.
+            If the records are no longer retained, or if the store has been restored
+            from a copy, which invalidates earlier offsets.
         """
         path = (
             f"/log-read?topic={topic}&part={PARTITION}&from={offset_of(start)}"
             f"&wait_ms={round(wait * 1000)}"
         )
-        answer = await self._ask("GET", path, timeout=READ_GRACE + wait)
+        answer = await self._call("GET", path, timeout=READ_TIMEOUT_MARGIN + wait)
         if answer.era != era_of(start):
             raise HistoryLost("the store came back from a copy")
         return _decode_records(answer.body, start)
 
     async def append(self, topic: str, key: str, value: bytes) -> None:
-        """Write the newest record of `key`."""
+        """Append a record, which becomes the newest of `key`."""
         name = key.encode()
         record = bytes([len(name)]) + name + value
-        body = RECORD_HEAD.pack(len(record)) + record
+        body = RECORD_HEADER.pack(len(record)) + record
         path = f"/log-append?topic={topic}&part={PARTITION}"
-        await self._ask("POST", path, body)
+        await self._call("POST", path, body)
 
-    async def _ask(
+    async def _call(
         self, method: str, path: str, body: bytes = b"", timeout: float | None = None
     ) -> StoreAnswer:
         self.calls += 1
@@ -166,7 +187,7 @@
                 self.address, method, path, body, timeout or TIMEOUT
             )
         except NoAnswerError as error:
-            # What made this connection silent may have hit all that were open then.
+            # The cause of a missing response may affect all open connections.
             self.http.drop_idle(self.address)
             raise NoAnswer(str(error)) from error
         except ExchangeError as error:
@@ -179,19 +200,20 @@
 
 
 class StoreSource(Generic[T]):
-    """Follows one topic and decodes its records.
+    """Reads one topic and decodes its records.
 
     Parameters
     ----------
     store : StoreClient
-        Where the topic is.
+        Client of the store.
     topic : str
         Name of the topic.
     decode : callable
-        Returns what a record says, or None where it says nothing of interest.
+        Returns the decoded record, or None for a record to skip.
     unreadable : callable
-        Returns what a record that can't be decoded means. Others may write to the
-        topic too; one bad record must not hide the rest.
+        Returns the replacement for a record that can't be decoded, or None to skip
+        it. Other programs may write to the topic too, and one invalid record must
+        not block the rest.
     """
 
     def __init__(
@@ -229,22 +251,22 @@
     def _log_unreadable(self, record: Record, error: SourceError) -> None:
         if record.key in self.logged:
             return
-        if len(self.logged) >= UNREADABLE_KEPT:
+        if len(self.logged) >= MAX_REMEMBERED_KEYS:
             self.logged.clear()
         self.logged.add(record.key)
         extra = {
             "topic": self.topic,
-            "key": record.key[:LOGGED_LENGTH],
-            "reason": str(error)[:LOGGED_LENGTH],
+            "key": record.key[:MAX_LOGGED_LENGTH],
+            "reason": str(error)[:MAX_LOGGED_LENGTH],
         }
         logger.warning("unreadable record", extra=extra)
 
 
 class StoreDirectory(StoreSource[PeerEntry | QuarantineRecord]):
-    """What the routers keep for one another, in a topic of their own."""
+    """Records that the routers share: their addresses and the quarantine."""
 
     def __init__(self, store: StoreClient) -> None:
-        super().__init__(store, PEER_TOPIC, _decode_kept)
+        super().__init__(store, PEER_TOPIC, _decode_directory_record)
 
     async def announce(self, entry: PeerEntry) -> None:
         """Write this router's own entry."""
@@ -252,18 +274,18 @@
         await self.store.append(PEER_TOPIC, entry.router, value)
 
     async def keep_verdict(self, record: QuarantineRecord) -> None:
-        """Write that a content is refused."""
+        """Write the quarantine record of a content."""
         value = msgspec.json.encode(record)
-        await self.store.append(PEER_TOPIC, CONTENT_KEY + record.content, value)
+        await self.store.append(PEER_TOPIC, CONTENT_KEY_PREFIX + record.content, value)
 
     async def drop_verdict(self, content: ContentId) -> None:
-        """Write that a content is refused no longer."""
-        await self.store.append(PEER_TOPIC, CONTENT_KEY + content, b"")
+        """Remove the quarantine record of a content."""
+        await self.store.append(PEER_TOPIC, CONTENT_KEY_PREFIX + content, b"")
 
 
 def operator_source(store: StoreClient) -> StoreSource[RouteTable | Evacuation]:
     """Return the source of the operators' configurations and evacuations."""
-    return StoreSource(store, CONFIG_TOPIC, _decode_operators_word)
+    return StoreSource(store, CONFIG_TOPIC, _decode_operator_record)
 
 
 def endpoint_source(store: StoreClient) -> StoreSource[Registered]:
@@ -271,9 +293,9 @@
     return StoreSource(store, ENDPOINT_TOPIC, _decode_registered, _not_registered)
 
 
-def _decode_operators_word(record: Record) -> RouteTable | Evacuation | None:
-    if record.key.startswith(EVACUATION_KEY):
-        data_centre = DataCentreId(record.key.removeprefix(EVACUATION_KEY))
+def _decode_operator_record(record: Record) -> RouteTable | Evacuation | None:
+    if record.key.startswith(EVACUATION_KEY_PREFIX):
+        data_centre = DataCentreId(record.key.removeprefix(EVACUATION_KEY_PREFIX))
         return Evacuation(data_centre, bool(record.value))
     if record.key != CONFIG_KEY or not record.value:
         return None
@@ -292,10 +314,10 @@
     return Registered(EndpointName(record.key), None)
 
 
-def _decode_kept(record: Record) -> PeerEntry | QuarantineRecord | None:
+def _decode_directory_record(record: Record) -> PeerEntry | QuarantineRecord | None:
     if not record.value:
         return None
-    kind = QuarantineRecord if record.key.startswith(CONTENT_KEY) else PeerEntry
+    kind = QuarantineRecord if record.key.startswith(CONTENT_KEY_PREFIX) else PeerEntry
     try:
         return msgspec.json.decode(record.value, type=kind)
     except msgspec.MsgspecError as error:
@@ -312,22 +334,22 @@
 def _era(head: Head) -> int:
     text = head.headers.get(ERA_HEADER, "0")
     if not text.isdecimal():
-        raise SourceError(f"no era: {text[:LOGGED_LENGTH]}")
+        raise SourceError(f"no era: {text[:MAX_LOGGED_LENGTH]}")
     return int(text)
 
 
 def _decode_records(data: bytes, start: Position) -> Page[Record]:
-    if len(data) < READ_HEAD.size:
+    if len(data) < READ_HEADER.size:
         raise SourceError("a read without its head")
-    place = READ_HEAD.size
+    offset = READ_HEADER.size
     found: list[Record] = []
-    while place < len(data):
-        size = RECORD_HEAD.unpack_from(data, place)[0]
-        place += RECORD_HEAD.size
-        if place + size > len(data):
+    while offset < len(data):
+        size = RECORD_HEADER.unpack_from(data, offset)[0]
+        offset += RECORD_HEADER.size
+        if offset + size > len(data):
             raise SourceError("a read that ends within a record")
-        found.append(_decode_record(data[place : place + size]))
-        place += size
+        found.append(_decode_record(data[offset : offset + size]))
+        offset += size
     return Page(found, Position(start + len(found)))
 
 
@@ -342,5 +364,5 @@
     try:
         return Record(entry.key, base64.b64decode(entry.value))
     except binascii.Error:
-        # Decoded as a value that no topic holds, and logged there.
+        # The raw text fails to decode as a record of the topic, which logs it.
         return Record(entry.key, entry.value.encode())
--- a/tests/platform/record_builders.py
+++ b/tests/platform/record_builders.py
@@ -1,10 +1,10 @@
-"""Builders of records as the platform's store holds them."""
+"""Builders of records in the format of the platform's store."""
 
 from __future__ import annotations
 
 import json
 
-#: Fields that each registration of an endpoint has.
+#: Required fields of an endpoint registration.
 ENTRY = {
     "service": "s",
     "address": "10.0.0.1:80",
@@ -18,5 +18,5 @@
 
 
 def entry(**fields):
-    """Return the bytes of a registration with some fields changed."""
+    """Return an encoded registration with the given fields replaced."""
     return json.dumps({**ENTRY, **fields}).encode()
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in one folder."""
+"""Names of the platform's protocol occur only in the platform folder."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from carawayfold.platform import headers
 
 PACKAGE = Path(carawayfold.__file__).parent
-#: Names of the platform's wire that no other module may know.
+#: Names of the platform's protocol that no other module may contain.
 WIRE_NAMES = [
     "target_latency_ms",
     "path_prefix",
@@ -53,20 +53,20 @@
 
 
 @pytest.mark.parametrize("name", WIRE_NAMES)
-def test_no_other_module_knows_a_name_of_the_wire(name):
+def test_no_other_module_contains_a_platform_name(name):
     pattern = re.compile(re.escape(name), re.IGNORECASE)
-    known = [path.name for path in modules() if pattern.search(path.read_text())]
-    assert known == []
+    containing = [path.name for path in modules() if pattern.search(path.read_text())]
+    assert containing == []
 
 
-def test_only_the_application_objects_import_the_adapter():
+def test_only_permitted_modules_name_the_adapter():
     importing = [
         path.name for path in modules() if "carawayfold.platform" in path.read_text()
     ]
     assert importing == ["gateway.py", "sources.py"]
 
 
-def test_no_other_module_knows_the_header_of_a_requests_id():
+def test_no_other_module_contains_the_request_id_header():
     pattern = re.compile(rf"(?<!x-){headers.REQUEST_ID}", re.IGNORECASE)
-    known = [path.name for path in modules() if pattern.search(path.read_text())]
-    assert known == []
+    containing = [path.name for path in modules() if pattern.search(path.read_text())]
+    assert containing == []
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves, as the platform spells it."""
+"""Decoding of the response headers by which endpoints report their state."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     ],
 )
 @pytest.mark.parametrize("status", [200, 404, 500, 503])
-def test_an_endpoint_says_that_it_leaves_in_any_answer(status, values, leaving):
+def test_shutdown_is_announced_with_any_status(status, values, leaving):
     fields = [("server-leaving", value) for value in values]
     assert read(status, *fields).leaving is leaving
 
 
-def test_the_next_owner_of_an_address_says_nothing_of_the_one_before():
+def test_misdirected_response_does_not_count_for_the_expected_endpoint():
     answered = read(421, ("server-leaving", "1"), ("retry-after", "3"))
     assert (answered.leaving, answered.rest) == (False, 0.0)
 
@@ -53,11 +53,11 @@
         (["x", "1"], 1.0),
     ],
 )
-def test_the_time_of_rest_is_a_number_of_seconds(values, rest):
+def test_requested_backoff_is_a_number_of_seconds(values, rest):
     fields = [("retry-after", value) for value in values]
     assert read(503, *fields).rest == rest
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
-def test_only_an_answer_that_turns_away_asks_for_rest(status):
+def test_only_status_503_requests_a_backoff(status):
     assert read(status, ("retry-after", "3")).rest == 0.0
--- a/tests/platform/test_records.py
+++ b/tests/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Decoding of the store's records."""
+"""Decoding of records of the platform's store."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.platform.record_builders import ENTRY, entry
 
 
-def test_a_configuration_becomes_routes():
+def test_configuration_is_decoded_into_routes():
     table = records.decode_routes(json.dumps(configuration(7)).encode())
     assert table.version == 7
     assert [item.kind for item in table.routes][:3] == [
@@ -32,7 +32,7 @@
     assert table.organisations == {KEY: "alder"}
 
 
-def test_an_unknown_kind_of_route_is_never_repeated():
+def test_route_of_unknown_kind_is_never_retried():
     config = configuration()
     config["routes"][0]["route_kind"] = "some-new-kind"
     table = records.decode_routes(json.dumps(config).encode())
@@ -40,17 +40,17 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b'{"version": "x"}', b"\xff"])
-def test_what_is_no_configuration_is_a_typed_error(data):
+def test_invalid_configuration_raises_source_error(data):
     with pytest.raises(SourceError):
         records.decode_routes(data)
 
 
-def test_an_entry_becomes_an_endpoint():
+def test_registration_is_decoded_into_an_endpoint():
     endpoint = records.decode_endpoint("i-1", entry(state="draining"), 10.0)
     assert (endpoint.id, endpoint.slots, endpoint.leaving) == ("i-1", 3, True)
 
 
-def test_the_start_of_an_endpoint_tells_its_incarnations_apart():
+def test_start_time_distinguishes_incarnations_of_an_endpoint():
     first, second = (
         records.decode_endpoint("i-1", entry(born=born), 10.0)
         for born in (1760683167168, 1760683190000)
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("field", ENTRY)
-def test_an_entry_without_a_field_is_no_endpoint(field):
+def test_registration_without_a_required_field_is_rejected(field):
     fields = {name: value for name, value in ENTRY.items() if name != field}
     with pytest.raises(SourceError):
         records.decode_endpoint("i-1", json.dumps(fields).encode(), 10.0)
@@ -89,13 +89,13 @@
         {"cold_remaining_ms": "0"},
     ],
 )
-def test_an_entry_with_a_field_of_another_kind_is_no_endpoint(fields):
+def test_registration_with_an_invalid_field_is_rejected(fields):
     with pytest.raises(SourceError):
         records.decode_endpoint("i-1", entry(**fields), 10.0)
 
 
 class FakeStore:
-    """Answers with rows that others have written."""
+    """Store that returns the given rows as the newest records."""
 
     def __init__(self, items):
         self.items = items
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("value", BAD_VALUES)
-def test_a_record_of_another_writer_hides_no_other(value):
+def test_invalid_record_does_not_block_other_records(value):
     rows = [Record("i-0", entry()), Record("i-1", value), Record("i-2", entry())]
     source = store.endpoint_source(FakeStore(rows))
     page = asyncio.run(source.newest())
@@ -116,7 +116,7 @@
     assert found == [("i-0", True), ("i-1", False), ("i-2", True)]
 
 
-def test_an_unreadable_record_that_comes_again_is_logged_once():
+def test_rewritten_unreadable_record_is_logged_once():
     rows = [Record("i-1", b"{")] * 5 + [Record("i-2", b"{")]
     with logbook.TestHandler() as lines:
         asyncio.run(store.endpoint_source(FakeStore(rows)).newest())
@@ -124,14 +124,14 @@
     assert keys == ["i-1", "i-2"]
 
 
-def test_an_unreadable_configuration_hides_no_other_record():
+def test_unreadable_configuration_does_not_block_other_records():
     good = Record("config", json.dumps(configuration(7)).encode())
     rows = [Record("config", b"{"), good]
     page = asyncio.run(store.operator_source(FakeStore(rows)).newest())
     assert [table.version for table in page.items] == [7]
 
 
-def test_evacuations_stand_beside_the_configuration():
+def test_evacuations_are_read_from_the_configuration_topic():
     rows = [
         Record("evacuate/north", b"{}"),
         Record("config", json.dumps(configuration(7)).encode()),
@@ -139,11 +139,11 @@
         Record("other", b"{}"),
     ]
     page = asyncio.run(store.operator_source(FakeStore(rows)).newest())
-    words = [item for item in page.items if isinstance(item, Evacuation)]
-    assert words == [Evacuation("north", True), Evacuation("south", False)]
+    evacuations = [item for item in page.items if isinstance(item, Evacuation)]
+    assert evacuations == [Evacuation("north", True), Evacuation("south", False)]
 
 
-def test_regions_and_warm_up_are_read():
+def test_regions_and_warm_up_rate_are_decoded():
     config = configuration()
     config["routes"][0]["allowed_regions"] = ["hills"]
     config["tenants"][0]["allowed_regions"] = ["hills", "coast"]
@@ -158,13 +158,13 @@
 
 
 @pytest.mark.parametrize(("left_ms", "warm_at"), [(0, 0.0), (3000, 13.0)])
-def test_an_endpoint_warms_up_from_when_its_entry_was_read(left_ms, warm_at):
+def test_warm_up_counts_from_the_read_of_the_registration(left_ms, warm_at):
     endpoint = records.decode_endpoint("i-1", entry(cold_remaining_ms=left_ms), 10.0)
     assert (endpoint.warm_up, endpoint.warm_at) == (left_ms / 1000, warm_at)
 
 
 @pytest.mark.parametrize("record", [b"", b"\x02\xff\xfevalue", b"\x09abc"])
-def test_a_record_with_an_unreadable_key_hides_no_other(record):
+def test_record_with_an_invalid_key_does_not_block_other_records(record):
     good = b"\x03abcvalue"
     body = struct.pack(">QQ", 9, 0)
     for item in (record, good):
@@ -174,7 +174,7 @@
     assert page.next == 9
 
 
-def test_a_listed_value_that_is_no_base64_hides_no_other():
+def test_listed_value_with_invalid_base64_does_not_block_others():
     rows = [{"key": "i-1", "value": "a", "offset": 1}]
     rows.append({"key": "i-2", "value": base64.b64encode(b"x").decode(), "offset": 2})
     answer = json.dumps({"entries": rows, "end": 3}).encode()
@@ -182,17 +182,17 @@
     assert [store._listed_record(item).key for item in entries] == ["i-1", "i-2"]
 
 
-def test_a_read_that_ends_within_a_record_is_a_typed_error():
+def test_read_truncated_within_a_record_raises_source_error():
     body = struct.pack(">QQ", 9, 0) + struct.pack(">I", 9) + b"\x03abc"
     with pytest.raises(SourceError):
         store._decode_records(body, 0)
 
 
-def test_read_records_keep_keys_and_removals():
+def test_read_records_have_keys_and_removals():
     record = b"\x03abcvalue"
-    gone = b"\x03abc"
+    removal = b"\x03abc"
     body = struct.pack(">QQ", 9, 0)
-    for item in (record, gone):
+    for item in (record, removal):
         body += struct.pack(">I", len(item)) + item
     page = store._decode_records(body, 7)
     assert [(item.key, item.value) for item in page.items] == [
@@ -203,6 +203,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"123"])
-def test_a_read_that_is_cut_is_a_typed_error(data):
+def test_read_with_truncated_header_raises_source_error(data):
     with pytest.raises(SourceError):
         store._decode_records(data, 0)
--- a/tests/platform/test_silent_connections.py
+++ b/tests/platform/test_silent_connections.py
@@ -1,4 +1,8 @@
-"""Kept connections to the store that fall silent for good, while new ones work."""
+"""Reused store connections that stop responding while new connections work.
+
+Without dropping all idle connections after a time-out, the next call would pick
+another one that does not respond either.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 
 class SilentStore:
-    """Answers lists, but for calls on the connections opened first."""
+    """Store that responds to lists, except on the first `silent_up_to` connections."""
 
     def __init__(self):
         self.opened = 0
@@ -32,7 +36,7 @@
                 writer.write(ANSWER)
 
 
-def test_a_call_after_a_hung_one_uses_no_connection_as_old(monkeypatch):
+def test_call_after_a_time_out_opens_a_new_connection(monkeypatch):
     monkeypatch.setattr("carawayfold.platform.store.TIMEOUT", 0.05)
 
     async def work():
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Calls of the store, around its return from a copy."""
+"""Calls of the store before and after it is restored from a copy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeHttp:
-    """Answers each call with the next body, in the era that stands beside it."""
+    """HTTP client that returns the given (era, body) pairs in order."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -36,7 +36,7 @@
 RECORDS = struct.pack(">QQ", 8, 0) + struct.pack(">I", 4) + b"\x01kv!"
 
 
-def test_what_is_read_stands_in_the_era_of_the_store():
+def test_positions_contain_the_era_of_the_store():
     http = FakeHttp(("2", page(7)), ("2", RECORDS))
     client = StoreClient(http, None)
     listed = asyncio.run(client.newest("t"))
@@ -45,18 +45,18 @@
     assert "from=7&" in http.paths[1]
 
 
-def test_a_store_that_tells_no_era_has_never_come_back():
+def test_store_without_an_era_header_is_in_era_zero():
     http = FakeHttp((None, page(7)))
     assert asyncio.run(StoreClient(http, None).newest("t")).next == 7
 
 
-def test_records_of_another_era_are_no_continuation():
+def test_read_in_another_era_raises_history_lost():
     client = StoreClient(FakeHttp(("2", RECORDS)), None)
     with pytest.raises(HistoryLost):
         asyncio.run(client.read("t", position(1, 7), 0.5))
 
 
-def test_a_list_that_spans_a_return_is_no_list():
+def test_list_interrupted_by_a_restore_raises_history_lost():
     entry = {"key": "k", "value": "", "offset": 1}
     first = page(7, entries=[entry], more_pages=True)
     client = StoreClient(FakeHttp(("1", first), ("2", page(5))), None)
@@ -64,7 +64,7 @@
         asyncio.run(client.newest("t"))
 
 
-def test_an_era_that_is_no_number_is_an_error_of_the_store():
+def test_non_numeric_era_raises_source_error():
     client = StoreClient(FakeHttp(("later", page(7))), None)
     with pytest.raises(SourceError):
         asyncio.run(client.newest("t"))
