--- a/binary/__init__.py
+++ b/binary/__init__.py
@@ -1,1 +1,1 @@
-"""Building the one file that instances run."""
+"""Build of the single executable file that instances run."""
--- a/binary/bootstrap.py
+++ b/binary/bootstrap.py
@@ -1,8 +1,8 @@
-"""First module of the one file: lets extension modules load out of the archive.
+"""Entry module of the executable archive: loads extension modules from it.
 
-Python imports plain modules from a zip archive, but extension modules need a file to
-map. Here their bytes go into an anonymous file in memory, which is private to the
-process and never on a disk.
+Python imports pure modules from a zip archive, but the loader of extension modules
+needs a file to map. Their bytes are copied into an anonymous file in memory, which is
+private to the process and never written to a disk.
 """
 
 from __future__ import annotations
@@ -19,16 +19,17 @@
     from collections.abc import Sequence
     from types import ModuleType
 
+#: File suffixes of extension modules for this interpreter.
 SUFFIXES = tuple(importlib.machinery.EXTENSION_SUFFIXES)
 
 
 class ArchivedExtensions(importlib.abc.MetaPathFinder):
-    """Finds extension modules in the archive.
+    """Finder for extension modules in the archive.
 
     Parameters
     ----------
     path : str
-        The archive.
+        Path of the archive.
     """
 
     def __init__(self, path: str) -> None:
@@ -47,7 +48,7 @@
         path: Sequence[str] | None,
         target: ModuleType | None = None,
     ) -> importlib.machinery.ModuleSpec | None:
-        """Return the spec of an archived extension module."""
+        """Return the spec of an archived extension module, or None if absent."""
         member = self.members.get(fullname)
         if member is None:
             return None
@@ -60,7 +61,7 @@
 
 
 def main() -> None:
-    """Run the command line out of the archive."""
+    """Run the command line from the archive."""
     sys.meta_path.insert(0, ArchivedExtensions(sys.path[0]))
     from carawayfold.commands import main as run
 
--- a/binary/build.py
+++ b/binary/build.py
@@ -1,4 +1,4 @@
-"""Build ``dist/carawayfold``: one executable file with all that it imports."""
+"""Build ``dist/carawayfold``: one executable file with all its dependencies."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 import zipapp
 from pathlib import Path
 
+#: File to build.
 TARGET = Path("dist/carawayfold")
-#: Parts of packages that are not needed to run.
+#: Patterns of files in packages that are not needed at run time.
 UNUSED = ("*.dist-info", "**/tests", "**/__pycache__", "bin", "**/*.pyi", "**/*.pyx")
 
 
 def main() -> None:
-    """Build the file."""
+    """Build the executable file."""
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder)
         command = [sys.executable, "-m", "pip", "install", "--quiet"]
@@ -26,7 +27,8 @@
             for path in root.glob(pattern):
                 remove(path)
         shutil.copy(Path(__file__).with_name("bootstrap.py"), root / "bootstrap.py")
-        # Compiled here: out of an archive, every start would compile again.
+        # Compiled ahead: Python can't cache bytecode for modules in an archive and
+        # would compile them at every start.
         compileall.compile_dir(root, quiet=2, legacy=True, stripdir=folder)
         TARGET.parent.mkdir(exist_ok=True)
         zipapp.create_archive(
@@ -40,7 +42,7 @@
 
 
 def remove(path: Path) -> None:
-    """Remove a file or folder."""
+    """Remove a file or folder if it exists."""
     if path.is_dir():
         shutil.rmtree(path)
     elif path.exists():
--- a/carawayfold/__main__.py
+++ b/carawayfold/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line as ``python -m carawayfold``."""
+"""Entry point of ``python -m carawayfold``."""
 
 from __future__ import annotations
 
--- a/carawayfold/commands/__init__.py
+++ b/carawayfold/commands/__init__.py
@@ -1,11 +1,11 @@
-"""The command line."""
+"""Command line of the program."""
 
 from __future__ import annotations
 
 
 def main() -> None:
     """Run the command line."""
-    # Imported late, so that one command can be started without all the others.
+    # Imported here so that a module of one command loads without all the others.
     from carawayfold.commands.line import app
 
     app()
--- a/carawayfold/commands/exits.py
+++ b/carawayfold/commands/exits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-#: The settings are wrong; what is wrong has been written to standard error.
+#: The settings are invalid; the errors have been written to standard error.
 BAD_SETTINGS = 2
-#: The command was called with other words than it takes.
+#: The command was called with invalid arguments.
 BAD_USAGE = 2
--- a/carawayfold/commands/line.py
+++ b/carawayfold/commands/line.py
@@ -1,4 +1,4 @@
-"""The commands of the one program: run, check, and the operators' calls."""
+"""Commands of the program: run, check, and the operators' calls."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 SettingsFile = Annotated[Path, typer.Argument(help="Settings: JSON with comments.")]
 
 
-def show_version(wanted: bool) -> None:
-    """Print the version and end."""
-    if wanted:
+def show_version(requested: bool) -> None:
+    """Print the version and exit if the option is given."""
+    if requested:
         typer.echo(f"carawayfold {__version__}")
         raise typer.Exit
 
@@ -39,29 +39,31 @@
 def common(
     version: Annotated[
         bool,
-        typer.Option("--version", callback=show_version, is_eager=True, help="Show."),
+        typer.Option(
+            "--version", callback=show_version, is_eager=True, help="Show the version."
+        ),
     ] = False,
 ) -> None:
-    """Take the options that every command has."""
+    """Accept the options common to all commands."""
 
 
 def load_settings(path: Path) -> settings.Settings:
-    """Return the settings at `path`, or say every fault and end."""
+    """Return the settings at `path`, or print all errors and exit."""
     return ok_or_exit(settings.load(path))
 
 
 def ok_or_exit(result: Result[T, list[str]]) -> T:
-    """Return what a check found good, or say every fault and end."""
+    """Return the value of a successful result, or print all errors and exit."""
     if result.is_error():
-        for fault in result.error:
-            typer.echo(fault, err=True)
+        for message in result.error:
+            typer.echo(message, err=True)
         raise typer.Exit(BAD_SETTINGS)
     return result.ok
 
 
 @app.command()
 def run(path: SettingsFile) -> None:
-    """Run one router until it is told to stop (SIGTERM; twice: at once)."""
+    """Run one router until SIGTERM; a second SIGTERM stops it at once."""
     from carawayfold import application
 
     checked = load_settings(path)
@@ -78,7 +80,7 @@
 
 @app.command()
 def forward(path: SettingsFile) -> None:
-    """Run one router that forwards by the operators' routes, until it is stopped."""
+    """Run one forwarding router with the operators' routes until it is stopped."""
     from carawayfold.commands import forwarding
 
     code = forwarding.start(path)
@@ -88,7 +90,7 @@
 
 @app.command()
 def check_forward(path: SettingsFile) -> None:
-    """Check the settings file of a router that forwards."""
+    """Check the settings file of a forwarding router."""
     from carawayfold import gateway_settings
 
     ok_or_exit(gateway_settings.load(path))
--- a/carawayfold/commands/operate.py
+++ b/carawayfold/commands/operate.py
@@ -1,4 +1,4 @@
-"""The operators' calls as commands."""
+"""Commands for the operators' administration calls."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 #: Environment variable that holds the operator's token.
 TOKEN_VARIABLE = "CARAWAYFOLD_TOKEN"
-#: Seconds that a call may take.
+#: Seconds to wait for the reply of a call.
 TIMEOUT = 15.0
-#: Exit codes of a change that was not accepted.
+#: Exit codes of a change that was not accepted, and of a router that did not reply.
 CONFLICT, INVALID, UNKNOWN, UNREACHABLE = 3, 4, 5, 6
-#: What `secrets.token_urlsafe` is asked for.
+#: Random bytes of a generated API key.
 API_KEY_BYTES = 24
 
 Router = Annotated[str, typer.Option(help="IP:port of a router's peer_listen.")]
 Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 BasedOn = Annotated[int, typer.Option(help="Revision of the object; 0 creates.")]
-ChangeId = Annotated[str, typer.Option(help="Repeat it to ask again.")]
+ChangeId = Annotated[str, typer.Option(help="Repeat it to retry a change safely.")]
 
 
 def register(app: typer.Typer) -> None:
@@ -41,8 +41,11 @@
         app.command()(command)
 
 
-async def ask(router: str, method: str, request: Any) -> Any:
-    """Return the reply of the router's administration call `method`."""
+async def call_router(router: str, method: str, request: Any) -> Any:
+    """Return the reply of a router to the administration call `method`.
+
+    Exits with `UNREACHABLE` if the call fails.
+    """
     import grpc
 
     from carawayfold.protocol import admin_pb2_grpc
@@ -59,7 +62,7 @@
             raise typer.Exit(UNREACHABLE) from None
 
 
-def put(
+def submit_change(
     router: str,
     kind: str,
     based_on: int,
@@ -67,7 +70,10 @@
     drop: bool = False,
     **fields: Any,
 ) -> None:
-    """Make one change and say what became of it."""
+    """Submit one change and print its result.
+
+    Exits with `CONFLICT`, `INVALID` or `UNKNOWN` if it was not accepted.
+    """
     from carawayfold.protocol import admin_pb2
 
     item = admin_pb2.Object()
@@ -78,7 +84,7 @@
     request = admin_pb2.ChangeRequest(
         change_id=change_id, based_on=based_on, object=item, remove=drop
     )
-    reply = asyncio.run(ask(router, "Change", request))
+    reply = asyncio.run(call_router(router, "Change", request))
     name = admin_pb2.ChangeReply.State.Name(reply.state).lower()
     typer.echo(f"{name} revision={reply.revision} change={change_id} {reply.detail}")
     codes = {"conflict": CONFLICT, "invalid": INVALID, "unknown": UNKNOWN}
@@ -95,7 +101,9 @@
     change_id: ChangeId = "",
 ) -> None:
     """Create or change an organisation and its share."""
-    put(router, "organisation", based_on, change_id, id=name, share=share, brand=brand)
+    submit_change(
+        router, "organisation", based_on, change_id, id=name, share=share, brand=brand
+    )
 
 
 def brand(
@@ -106,16 +114,18 @@
     change_id: ChangeId = "",
 ) -> None:
     """Create or change a brand."""
-    put(router, "brand", based_on, change_id, id=name, title=title)
+    submit_change(router, "brand", based_on, change_id, id=name, title=title)
 
 
 def key(
     organisation: str, router: Router, value: str = "", change_id: ChangeId = ""
 ) -> None:
-    """Create an API key for an organisation; only its hash is kept."""
+    """Create an API key for an organisation; only its hash is stored."""
     value = value or secrets.token_urlsafe(API_KEY_BYTES)
     typer.echo(f"key: {value}")
-    put(router, "key", 0, change_id, id=hash_key(value), organisation=organisation)
+    submit_change(
+        router, "key", 0, change_id, id=hash_key(value), organisation=organisation
+    )
 
 
 def service(
@@ -129,7 +139,7 @@
 ) -> None:
     """Create or change a service."""
     fields = {"id": name, "model": model, "repeatable": repeatable, "spread": spread}
-    put(router, "service", based_on, change_id, **fields)
+    submit_change(router, "service", based_on, change_id, **fields)
 
 
 def endpoint(
@@ -144,8 +154,8 @@
     based_on: BasedOn = 0,
     change_id: ChangeId = "",
 ) -> None:
-    """Create or change an endpoint; --draining gives it no new work."""
-    put(
+    """Create or change an endpoint; --draining sends it no new requests."""
+    submit_change(
         router,
         "endpoint",
         based_on,
@@ -164,7 +174,7 @@
     kind: str, name: str, router: Router, based_on: BasedOn, change_id: ChangeId = ""
 ) -> None:
     """Remove an object."""
-    put(router, kind, based_on, change_id, drop=True, id=name)
+    submit_change(router, kind, based_on, change_id, drop=True, id=name)
 
 
 def list_objects(router: Router, kind: str = "", as_json: Json = False) -> None:
@@ -173,7 +183,7 @@
 
     from carawayfold.protocol import admin_pb2
 
-    reply = asyncio.run(ask(router, "List", admin_pb2.ListRequest(kind=kind)))
+    reply = asyncio.run(call_router(router, "List", admin_pb2.ListRequest(kind=kind)))
     if as_json:
         typer.echo(MessageToJson(reply, preserving_proto_field_name=True))
         return
@@ -185,12 +195,12 @@
 
 
 def status(router: Router, as_json: Json = False) -> None:
-    """Say what a router does now."""
+    """Show the current status of a router."""
     from google.protobuf.json_format import MessageToJson
 
     from carawayfold.protocol import admin_pb2
 
-    reply = asyncio.run(ask(router, "Status", admin_pb2.StatusRequest()))
+    reply = asyncio.run(call_router(router, "Status", admin_pb2.StatusRequest()))
     if as_json:
         typer.echo(MessageToJson(reply, preserving_proto_field_name=True))
         return
@@ -198,7 +208,7 @@
 
 
 def format_status(reply: Any) -> str:
-    """Return a status as lines of text."""
+    """Return a status reply as lines of text."""
     state = "stopping" if reply.stopping else "ready" if reply.ready else "not ready"
     peers = ", ".join(
         f"{peer.router}{'' if peer.live else ' (not live)'}" for peer in reply.peers
@@ -218,12 +228,12 @@
 
 
 def top(router: Router, interval: float = 1.0, rounds: int = 0) -> None:
-    """Show a router's status again and again; 0 rounds is until Ctrl-C."""
+    """Show the status of a router repeatedly; 0 rounds: until Ctrl-C."""
     from carawayfold.protocol import admin_pb2
 
     shown = 0
     while not rounds or shown < rounds:
-        reply = asyncio.run(ask(router, "Status", admin_pb2.StatusRequest()))
+        reply = asyncio.run(call_router(router, "Status", admin_pb2.StatusRequest()))
         if sys.stdout.isatty():
             typer.echo("\x1b[2J\x1b[H", nl=False)
         typer.echo(format_status(reply))
@@ -233,8 +243,8 @@
 
 
 def drain(router: Router) -> None:
-    """Let a router finish its work and stop."""
+    """Have a router finish its requests in flight and stop."""
     from carawayfold.protocol import admin_pb2
 
-    asyncio.run(ask(router, "DrainRouter", admin_pb2.DrainRouterRequest()))
+    asyncio.run(call_router(router, "DrainRouter", admin_pb2.DrainRouterRequest()))
     typer.echo("draining")
--- a/carawayfold/commands/quarantine.py
+++ b/carawayfold/commands/quarantine.py
@@ -1,4 +1,4 @@
-"""Lists and lifts the contents that routers which forward refuse."""
+"""Commands that list and lift the quarantine of forwarding routers."""
 
 from __future__ import annotations
 
@@ -13,49 +13,49 @@
 from carawayfold.protocol.quarantine_list import LIFT_PATH, LIST_PATH, ListedContent
 from carawayfold.settings import Address
 
-#: Seconds that a router may take to answer.
+#: Seconds to wait for the response of a router.
 TIMEOUT = 5.0
-#: Exit code where no router knows the content.
-NOT_KNOWN = 4
+#: Exit code if the content is neither quarantined nor suspect.
+UNKNOWN_CONTENT = 4
 
 Router = Annotated[str, typer.Option(help="IP:port of a router's peer_listen.")]
-Content = Annotated[str, typer.Argument(help="As the list and the logs name it.")]
+Content = Annotated[str, typer.Argument(help="Its id in the list and in the logs.")]
 
 
 def register(app: typer.Typer) -> None:
-    """Add the commands to `app`."""
+    """Add the quarantine commands to `app`."""
     app.command("quarantine")(list_contents)
     app.command("lift")(lift)
 
 
 def list_contents(router: Router, json: Json = False) -> None:
-    """List the contents under which endpoints ended, as one router knows them."""
-    status, data = _ask(router, "GET", LIST_PATH)
+    """List the quarantined and suspect contents that a router has on record."""
+    status, data = _send_request(router, "GET", LIST_PATH)
     if status != http.HTTPStatus.OK:
-        _give_up(f"{router} answered {status}")
+        _exit_unreachable(f"{router} answered {status}")
     if json:
         typer.echo(data.decode())
         return
     try:
         listed = quarantine_list.decode(data)
     except msgspec.MsgspecError as error:
-        _give_up(f"{router} is no router that forwards: {error}")
+        _exit_unreachable(f"{router} is no router that forwards: {error}")
     for item in listed:
-        typer.echo(_line(item))
+        typer.echo(_format_content(item))
 
 
 def lift(content: Content, router: Router) -> None:
-    """Have every router serve a content again that they refuse."""
-    status, _ = _ask(router, "POST", LIFT_PATH + content)
+    """Lift the quarantine of a content on all routers."""
+    status, _ = _send_request(router, "POST", LIFT_PATH + content)
     if status == http.HTTPStatus.NOT_FOUND:
         typer.echo(f"{content} is not refused or watched", err=True)
-        raise typer.Exit(NOT_KNOWN)
+        raise typer.Exit(UNKNOWN_CONTENT)
     if status != http.HTTPStatus.OK:
-        _give_up(f"{router} answered {status}")
+        _exit_unreachable(f"{router} answered {status}")
     typer.echo(f"{content}: lifted")
 
 
-def _line(item: ListedContent) -> str:
+def _format_content(item: ListedContent) -> str:
     ended = ", ".join(item.endpoints)
     return (
         f"{item.content}  {item.level}  {item.organisation or '(no organisation)'}  "
@@ -63,7 +63,7 @@
     )
 
 
-def _ask(router: str, method: str, path: str) -> tuple[int, bytes]:
+def _send_request(router: str, method: str, path: str) -> tuple[int, bytes]:
     try:
         address = Address.parse(router)
     except ValueError as error:
@@ -74,11 +74,11 @@
         answer = connection.getresponse()
         return answer.status, answer.read()
     except (OSError, http.client.HTTPException) as error:
-        _give_up(f"{router} did not answer: {error}")
+        _exit_unreachable(f"{router} did not answer: {error}")
     finally:
         connection.close()
 
 
-def _give_up(reason: str) -> None:
+def _exit_unreachable(reason: str) -> None:
     typer.echo(reason, err=True)
     raise typer.Exit(UNREACHABLE)
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The one file: extension modules load out of the archive, and nothing is written."""
+"""Extension modules load from the executable archive without writing any file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgspec
 
 
-def test_extension_modules_load_out_of_the_archive(tmp_path):
+def test_extension_modules_load_from_the_archive(tmp_path):
     root = tmp_path / "root"
     package = root / "msgspec"
     package.mkdir(parents=True)
@@ -28,6 +28,6 @@
     zipapp.create_archive(root, archive, main="bootstrap:main")
     before = sorted(tmp_path.iterdir())
     command = [sys.executable, "-I", "-S", str(archive)]
-    ended = subprocess.run(command, capture_output=True, text=True, check=False)
-    assert ended.stdout == "[1]\n", ended.stderr
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    assert completed.stdout == "[1]\n", completed.stderr
     assert sorted(tmp_path.iterdir()) == before
