--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -369,7 +369,8 @@
         self.caches.look()
 
     def _store_changed(self) -> None:
-        # The reader role passes to another router, or returns to this one.
+        # The store has become reachable or unreachable from this router, so that
+        # another router may have to read it, or no longer has to.
         self.fleet.tell_near()
         self.anti_entropy.wake()
 
--- a/carawayfold/platform/records.py
+++ b/carawayfold/platform/records.py
@@ -74,7 +74,11 @@
 
 
 class WireService(msgspec.Struct):
-    """A service; ``cold_per_s`` is its warm-up rate per second."""
+    """A service.
+
+    ``cold_per_s`` is the requests per second that an endpoint accepts while it warms
+    up; 0 if its endpoints need no warm-up.
+    """
 
     name: str
     health_path: str = "/"
