--- a/carawayfold/transport/client.py
+++ b/carawayfold/transport/client.py
@@ -1,8 +1,8 @@
-"""HTTP client for endpoints and the platform, over circuits' poller.
+"""HTTP client for endpoints and the platform, built on the circuits poller.
 
-circuits.web's own client buffers whole answers, and one component a connection
-clears the library's handler cache each time one is registered; so one component
-holds all connections.
+The client of circuits.web buffers whole responses, so it is not used. One component
+holds all connections, because registering a component clears the handler cache of
+circuits, and one component per connection would do so for every connection.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
     from carawayfold.transport.loop import Root
     from carawayfold.transport.messages import AnswerHead
 
-#: Bytes read from a socket at once.
+#: Maximum number of bytes per read from a socket.
 READ_SIZE = 65536
-#: Idle connections kept for one address.
+#: Maximum number of idle connections kept per address.
 IDLE_KEPT = 64
-#: Seconds after which an idle connection is not used again.
+#: Seconds after which an idle connection is closed instead of reused.
 IDLE_LIFETIME = 20.0
-#: Part of the lifetime that a far end announces for idle connections which is used,
-#: so that a request and its close don't cross.
+#: Fraction of the keep-alive timeout announced by the remote side that is used, so
+#: that the remote side does not close a connection while a request is being sent.
 IDLE_MARGIN = 0.5
-#: Methods that need no length when they carry no body.
+#: Methods for which an empty body is sent without ``Content-Length``.
 BODYLESS_METHODS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 
 
 class Phase(Enum):
-    """Where an exchange stands, for telling whether a request can have run."""
+    """Progress of an exchange; determines whether the request may have run."""
 
     CONNECTING = "connecting"
     SENT = "sent"
@@ -49,14 +49,14 @@
 
 
 class ExchangeError(Exception):
-    """An exchange ended before its answer was whole.
+    """An exchange ended before its response was complete.
 
     Attributes
     ----------
     phase : Phase
-        How far it had come.
+        Progress when it failed.
     reused : bool
-        Whether it ran on a connection that had been idle.
+        Whether it used a connection that had carried an earlier exchange.
     """
 
     def __init__(self, phase: Phase, reason: str, reused: bool = False) -> None:
@@ -66,18 +66,18 @@
 
 
 class NoAnswerError(ExchangeError):
-    """No whole answer came in time."""
+    """No complete response arrived within the timeout."""
 
 
 class Head(msgspec.Struct):
-    """Status and headers of an answer; header names in lower case.
+    """Status and headers of a response; header names in lower case.
 
     Attributes
     ----------
     headers : dict of str
-        The last value of each header.
+        Last value of each header.
     fields : list of tuple of str
-        Every header, in order.
+        All headers, in order.
     """
 
     status: int
@@ -86,31 +86,31 @@
 
 
 class Answer(msgspec.Struct):
-    """A whole answer."""
+    """A complete response."""
 
     head: Head
     body: bytes
 
 
 class Exchange(msgspec.Struct, eq=False):
-    """One request and its answer on one connection.
+    """One request and its response on one connection.
 
     Attributes
     ----------
     on_head : callable
-        Takes the answer's head.
+        Called with the head of the response.
     on_data : callable
-        Takes each piece of the answer's body.
+        Called with each part of the response body.
     done : asyncio.Future
-        Resolved when the answer is whole; fails with `ExchangeError`.
+        Resolved when the response is complete; fails with `ExchangeError`.
     belongs : callable or None
-        Takes an answer's head and returns whether it answers this request. One
-        that does not, such as a second answer to an earlier request, is passed
-        over and the next one on the connection is awaited.
+        Called with the head of a response; returns whether it belongs to this
+        request. A response that does not, such as a second response to an earlier
+        request, is skipped, and the next one on the connection is awaited.
     skipping : bool
-        Whether such a foreign answer is being passed over.
+        Whether a response to another request is being skipped.
     method : str
-        Of the request.
+        Method of the request.
     """
 
     on_head: Callable[[Head], None]
@@ -128,15 +128,15 @@
     Attributes
     ----------
     reader : AnswerReader or None
-        Reads the answer of the exchange under way.
+        Parser for the response of the current exchange.
     heard : float
-        Loop time at which bytes last arrived.
+        Loop time at which data last arrived, in seconds.
     opened : float
-        Loop time at which it was opened.
+        Loop time at which it was opened, in seconds.
     used : int
-        Exchanges that it has carried.
+        Number of exchanges started on it.
     lifetime : float
-        Seconds for which it may be used again once idle.
+        Seconds for which it may be reused after it becomes idle.
     """
 
     address: Address
@@ -180,27 +180,27 @@
         Parameters
         ----------
         address : Address
-            Where to.
+            Destination.
         method, path : str
-            Of the request.
+            Method and path of the request.
         headers : list of tuple of str
-            Further headers.
+            Headers; ``Host`` and ``Content-Length`` are added where needed.
         body : bytes
             Body of the request.
         on_head, on_data : callable
             See `Exchange`.
         fresh : bool
-            Whether to use a new connection: an idle one may have been closed by
-            its far end, which leaves it unknown whether a request ran.
+            Whether to open a new connection. The remote side may have closed an
+            idle one, which leaves it unknown whether a request sent on it ran.
         belongs : callable, optional
             See `Exchange`.
         idle_most : float
-            Seconds for which a connection to be used again may have been idle.
+            Maximum idle time in seconds of a reused connection.
 
         Returns
         -------
         Connection
-            Await ``exchange.done``; pass to `cancel` to give up.
+            Await ``exchange.done``, or pass it to `cancel` to abort the exchange.
         """
         loop = asyncio.get_running_loop()
         exchange = Exchange(
@@ -227,12 +227,12 @@
         timeout: float = 5.0,
         headers: list[tuple[str, str]] | None = None,
     ) -> Answer:
-        """Return a whole answer.
+        """Send a request and return the complete response.
 
         Raises
         ------
         ExchangeError
-            If no whole answer came within `timeout` seconds.
+            If no complete response arrived within `timeout` seconds.
         """
         heads: list[Head] = []
         parts: list[bytes] = []
@@ -252,7 +252,7 @@
         return Answer(heads[0], b"".join(parts))
 
     def cancel(self, connection: Connection) -> None:
-        """Give up the exchange on `connection`, closing it."""
+        """Abort the exchange on `connection` and close the connection."""
         connection.exchange = None
         self._close(connection)
 
@@ -265,7 +265,7 @@
         idle = self.idle.get(address)
         now = asyncio.get_running_loop().time()
         while idle:
-            # The newest is last, so what follows an old one is older still.
+            # The list is ordered by idle time, with the most recently used last.
             connection = idle[-1]
             if now - connection.heard >= connection.lifetime:
                 self._close(connection)
@@ -277,12 +277,12 @@
         return None
 
     def drop_idle(self, address: Address) -> None:
-        """Close idle connections to an address, whose process has ended."""
+        """Close idle connections to an address whose process has ended."""
         for connection in list(self.idle.get(address, ())):
             self._close(connection)
 
     def close_idle(self) -> None:
-        """Close connections that have been idle for their lifetime."""
+        """Close connections whose idle timeout has expired."""
         now = asyncio.get_running_loop().time()
         for idle in list(self.idle.values()):
             while idle and now - idle[0].heard >= idle[0].lifetime:
@@ -320,7 +320,7 @@
         return request_bytes(method, path, fields, body)
 
     def on_writable(self, sock: socket.socket) -> None:
-        """Go on with a connection that is open now, or has room to write."""
+        """Finish connecting, or write pending data."""
         connection = self.open.get(sock)
         if connection is None:
             return
@@ -355,7 +355,7 @@
             self.poller.removeWriter(connection.sock)
 
     def on_readable(self, sock: socket.socket) -> None:
-        """Read what a connection has."""
+        """Read available data from a connection."""
         connection = self.open.get(sock)
         if connection is None:
             return
@@ -367,7 +367,7 @@
             self.fail(connection, str(error))
             return
         if connection.exchange is None:
-            # An idle connection that speaks or ends is of no more use.
+            # Data or end of stream on an idle connection: it cannot be reused.
             self._close(connection)
             return
         connection.heard = asyncio.get_running_loop().time()
@@ -395,13 +395,13 @@
         data: bytes,
         take_head: Callable[[AnswerHead], None],
     ) -> bytes:
-        """Take one answer or a part of it; return what follows it."""
+        """Process one response or a part of it; return the bytes after it."""
         pieces, rest, complete = connection.reader.feed(data, take_head)
         if connection.exchange is not exchange:
-            # Given up by whoever took the head.
+            # The `on_head` callback cancelled the exchange.
             return b""
         if pieces and not exchange.skipping:
-            # Once for all that came: a stream's events come several at a time.
+            # One call for all parts: several events of a stream arrive together.
             exchange.on_data(b"".join(pieces))
         if complete and connection.exchange is exchange:
             self._complete(connection, exchange, rest)
@@ -429,7 +429,7 @@
     ) -> None:
         reusable = connection.reader.head.keep_alive
         if exchange.skipping:
-            # The answer to this request follows the foreign one, if any can.
+            # The response to this request follows if the connection stays open.
             exchange.skipping = False
             connection.reader = AnswerReader(exchange.method)
             if not reusable:
@@ -437,7 +437,7 @@
             return
         exchange.phase = Phase.DONE
         connection.exchange = None
-        # Bytes past the answer's end belong to nobody: never to the next request.
+        # Bytes after the response must not be read as the next response.
         if reusable and not rest:
             self._keep(connection)
         else:
@@ -453,13 +453,13 @@
             self._close(connection)
 
     def on_hangup(self, sock: socket.socket) -> None:
-        """Fail what was under way on a connection that is lost."""
+        """Fail the current exchange of a connection that was lost."""
         connection = self.open.get(sock)
         if connection is not None:
             self.fail(connection, "the connection was reset")
 
     def fail(self, connection: Connection, reason: str) -> None:
-        """End the exchange on `connection` with an error, closing it."""
+        """Fail the exchange on `connection` and close the connection."""
         exchange = connection.exchange
         connection.exchange = None
         self._close(connection)
@@ -479,7 +479,7 @@
 
 
 def _lifetime(head: Head) -> float:
-    """Return the seconds for which the connection may be used again once idle."""
+    """Return the seconds for which the connection may be reused once idle."""
     for part in head.headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
--- a/carawayfold/transport/datagrams.py
+++ b/carawayfold/transport/datagrams.py
@@ -1,7 +1,7 @@
-"""A UDP socket between routers.
+"""UDP socket for messages between routers.
 
-Datagrams carry the routers' state, which is absolute and sent again and again: a
-lost one needs no repair, and there is no connection that could fall silent.
+Datagrams carry absolute router state, which is sent periodically, so a lost datagram
+needs no retransmission and no connection has to be supervised.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds after a datagram to a peer for which further messages to it are gathered.
+#: Seconds after a datagram to a peer during which further messages to it are batched.
 GATHER = 0.001
-#: Datagrams read before others get their turn.
+#: Maximum number of datagrams read per loop iteration.
 READ_AT_ONCE = 128
-#: Most bytes of a datagram that is read.
+#: Maximum size of a received datagram, in bytes.
 READ_SIZE = 65536
 
 
 class PeerSocket:
-    """Sends messages to peers and hands on what they send.
+    """Sends messages to peers and passes on received datagrams.
 
     Parameters
     ----------
     router : RouterId
         This router.
     incarnation : int
-        Random per process start.
+        Random number generated at each process start.
     on_datagram : callable
-        Takes each datagram and its sender's address.
+        Called with each datagram and the address of its sender.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         self.gathered: dict[Address, list[Message]] = {}
-        #: Where peers reach this router; known once it is open.
+        #: Address on which peers reach this router; set by `open`.
         self.address = Address("", 0)
         self.sent_bytes = 0
         self.sent_datagrams = 0
@@ -70,14 +70,14 @@
         self.loop.add_reader(self.sock.fileno(), self._read)
 
     def _read(self) -> None:
-        """Take what has arrived; one datagram a turn would let them pile up."""
+        """Read pending datagrams; one per loop iteration would let a backlog grow."""
         for _ in range(READ_AT_ONCE):
             try:
                 data, source = self.sock.recvfrom(READ_SIZE)
             except BlockingIOError:
                 return
             except OSError as error:
-                # A peer's port is closed; its silence tells the same.
+                # The port of a peer is closed; missing heartbeats report it too.
                 logger.debug("datagram refused", extra={"reason": str(error)})
                 continue
             self._take(data, Address(source[0], source[1]))
@@ -91,10 +91,11 @@
         self.on_datagram(datagram, source)
 
     def send(self, address: Address, message: Message) -> None:
-        """Send a message now, or with others for the same peer right after one.
+        """Send a message at once, or batch it if one was just sent to the peer.
 
-        Waiting for others before the first one cost a decision two rounds of a timer
-        each way: 10 ms of the 70 that a plain request takes, at 2 ms of network.
+        The first message is not delayed: waiting for a batch adds two timer rounds
+        to a decision in each direction, 10 ms of the 70 ms that a plain request
+        takes at a network latency of 2 ms.
         """
         gathered = self.gathered.get(address)
         if gathered is None:
@@ -105,10 +106,10 @@
         gathered.append(message)
 
     def broadcast(self, addresses: Iterable[Address], message: Message) -> None:
-        """Send one message to many peers now, encoded once.
+        """Send one message to many peers at once, encoded only once.
 
-        Heartbeats are most of what a large fleet sends: gathered and encoded for each
-        peer, they took twice the time.
+        Heartbeats are most of the traffic of a large fleet; batching and encoding
+        them for each peer takes twice the time.
         """
         data = encode(Datagram(self.router, self.incarnation, [message]))
         for address in addresses:
@@ -138,7 +139,7 @@
         self.sent_datagrams += 1
 
     def flush_all(self) -> None:
-        """Send everything that is gathered."""
+        """Send all batched messages."""
         for address in list(self.gathered):
             self._flush(address)
 
--- a/carawayfold/transport/links.py
+++ b/carawayfold/transport/links.py
@@ -22,14 +22,15 @@
 
 logger = logbook.Logger(__name__)
 
-#: Bytes that one frame costs on the wire besides its payload: TCP/IP with
-#: timestamps 52, HTTP/2 frame 9, gRPC prefix 5.
+#: Bytes per frame on the wire in addition to its payload: 52 for TCP/IP with
+#: timestamps, 9 for the HTTP/2 frame header, 5 for the gRPC prefix.
 FRAME_OVERHEAD = 66
-#: Metadata key that carries the fleet's secret.
+#: Metadata key of the shared fleet secret.
 SECRET_KEY = "x-fleet-secret"
-#: Frames that may wait for a slow peer before the link is dropped.
+#: Maximum number of frames queued for a slow peer before the link is closed.
 SEND_BACKLOG = 1000
-#: A new channel must not share the connection of one that has gone silent.
+#: gRPC options. The local subchannel pool keeps a new gRPC channel from sharing the
+#: connection of one that no longer responds.
 CHANNEL_OPTIONS = [
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.enable_retries", 0),
@@ -45,15 +46,15 @@
     Attributes
     ----------
     router : str
-        The peer, once it has said hello.
+        Name of the peer; empty until its hello message arrives.
     cursor : RowCursor
-        How far this router's rows have been sent on the link.
+        Position up to which the rows of this router have been sent on the link.
     names : NameTable
-        Numbers in place of names.
+        Numbers that replace names on this link.
     greeted : bool
-        Whether the peer's first full frame has arrived.
+        Whether the first full frame of the peer has arrived.
     closed : bool
-        Whether the link is of no more use.
+        Whether the link has been closed.
     """
 
     def __init__(self, meter: Meter) -> None:
@@ -67,11 +68,11 @@
 
     @classmethod
     def loopback(cls) -> Link:
-        """Return a link that stands for this router itself."""
+        """Return a link that represents this router itself."""
         return cls(Meter())
 
     def send(self, frame: peer_pb2.Frame) -> None:
-        """Queue a frame."""
+        """Queue a frame; close the link if its queue exceeds `SEND_BACKLOG`."""
         if self.closed:
             return
         self.meter.count(frame.ByteSize())
@@ -80,7 +81,7 @@
             self.close()
 
     def close(self) -> None:
-        """End the link."""
+        """Close the link."""
         if not self.closed:
             self.closed = True
             self.outgoing.put_nowait(None)
@@ -100,7 +101,7 @@
     Attributes
     ----------
     sent_bytes : int
-        Payload and `FRAME_OVERHEAD` of each frame.
+        Bytes sent: payload and `FRAME_OVERHEAD` of each frame.
     """
 
     def __init__(self) -> None:
@@ -108,7 +109,7 @@
         self.sent_frames = 0
 
     def count(self, payload: int) -> None:
-        """Count one frame."""
+        """Count one frame with a payload of `payload` bytes."""
         self.sent_bytes += payload + FRAME_OVERHEAD
         self.sent_frames += 1
 
@@ -119,9 +120,9 @@
     Parameters
     ----------
     secret : str
-        The fleet's shared secret.
+        Shared secret of the fleet.
     on_open, on_frame, on_close : callable
-        Told about links and their frames.
+        Called when a link opens, receives a frame, or closes.
     """
 
     def __init__(
@@ -151,7 +152,7 @@
         return hmac.compare_digest(given.encode(), self.secret.encode())
 
     def dial(self, address: Address) -> None:
-        """Open a link to `address` unless one is being kept there."""
+        """Open a link to `address` unless one is open or being opened."""
         task = self.dialling.get(address)
         if task is None or task.done():
             self.dialling[address] = asyncio.create_task(self._dial(address))
@@ -171,7 +172,7 @@
     async def accept(
         self, frames: AsyncIterator[peer_pb2.Frame]
     ) -> AsyncIterator[peer_pb2.Frame]:
-        """Serve a link that a peer dialled; yield the frames for it."""
+        """Serve a link opened by a peer; yield the frames to send on it."""
         link = Link(self.meter)
         reader = asyncio.create_task(self._receive(link, frames))
         try:
@@ -197,7 +198,7 @@
             self.on_close(link)
 
     async def close(self) -> None:
-        """End every link."""
+        """Close all links."""
         for link in list(self.open):
             link.close()
         for task in self.dialling.values():
--- a/carawayfold/transport/loop.py
+++ b/carawayfold/transport/loop.py
@@ -1,8 +1,8 @@
-"""One loop on one thread: asyncio runs it, circuits components live in it.
+"""Integration of circuits components into the asyncio event loop, on one thread.
 
-grpc.aio needs an asyncio loop and circuits brings a loop of its own. Here the
-asyncio loop watches the epoll descriptor of the circuits poller and runs the
-circuits queue until it is empty whenever that descriptor is ready.
+grpc.aio needs an asyncio loop, and circuits has a loop of its own. The asyncio loop
+watches the epoll descriptor of the circuits poller; whenever it is ready, the
+circuits event queue is processed until it is empty.
 """
 
 from __future__ import annotations
@@ -23,41 +23,41 @@
 
 @runtime_checkable
 class DirectTarget(Protocol):
-    """A component that takes readiness by a call instead of by an event.
+    """A component that is notified of readiness by a call instead of an event.
 
-    An event goes through the library's queue and dispatcher, which costs more than
-    a small read itself.
+    An event passes through the queue and the dispatcher of circuits, which takes
+    longer than a small read.
     """
 
     def on_readable(self, sock: socket) -> None:
-        """Read from a socket."""
+        """Handle a readable socket."""
 
     def on_writable(self, sock: socket) -> None:
-        """Write to a socket."""
+        """Handle a writable socket."""
 
     def on_hangup(self, sock: socket) -> None:
-        """Let go of a socket whose connection is lost."""
+        """Release a socket whose connection was lost."""
 
 
 class DirectPoller(EPoll):
-    """Poller that calls a `DirectTarget` and fires events for all others."""
+    """Poller that calls `DirectTarget` components and fires events for others."""
 
     def __init__(self) -> None:
         super().__init__()
-        #: Components by their sockets; the library keeps their channels only. Those
-        #: that take no calls are left out: to ask at each readiness what a component
-        #: can do takes longer than a small read.
+        #: Direct targets by socket; circuits itself stores only the event address of a
+        #: component. Other components are left out, because a type check for each
+        #: readiness notification takes longer than a small read.
         self.sources: dict[socket, DirectTarget] = {}
-        #: Whether components of a class are direct targets; to ask takes 60 us.
+        #: Whether a class implements `DirectTarget`, cached as a check takes 60 us.
         self.direct: dict[type, bool] = {}
 
     def addReader(self, source: object, fd: socket) -> None:  # noqa: N802
-        """Watch a socket for what can be read."""
+        """Start watching a socket for readability."""
         self._know(source, fd)
         super().addReader(source, fd)
 
     def addWriter(self, source: object, fd: socket) -> None:  # noqa: N802
-        """Watch a socket for room to write."""
+        """Start watching a socket for writability."""
         self._know(source, fd)
         super().addWriter(source, fd)
 
@@ -69,7 +69,7 @@
             self.sources[fd] = source
 
     def discard(self, fd: socket) -> None:
-        """Watch a socket no longer."""
+        """Stop watching a socket."""
         self.sources.pop(fd, None)
         super().discard(fd)
 
@@ -118,21 +118,21 @@
         logger.error("a handler failed", extra={"reason": repr(value), "at": trace})
 
     def attach(self) -> None:
-        """Start to drive the tree from the running asyncio loop."""
+        """Start processing the tree in the running asyncio loop."""
         loop = asyncio.get_running_loop()
         loop.add_reader(self.poller._poller.fileno(), self.pump)
         self.pump()
 
     def detach(self) -> None:
-        """Stop to drive the tree."""
+        """Stop processing the tree."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.poller._poller.fileno())
 
     def pump(self) -> None:
-        """Take what the poller has, then run the tree until its queue is empty.
+        """Poll the sockets, then process events until the queue is empty.
 
-        The poller is read here and not by the library's ``generate_events``,
-        which would block and costs an event a round.
+        The poller is not read by ``generate_events`` of circuits, which would block
+        and needs one more event per iteration.
         """
         self.pump_scheduled = False
         for descriptor, flags in self.poller._poller.poll(0):
@@ -143,7 +143,7 @@
             self.flush()
 
     def wake(self) -> None:
-        """Run the tree soon, after an event was fired from asyncio."""
+        """Schedule `pump`; needed after an event is fired from asyncio code."""
         if self.pump_scheduled:
             return
         self.pump_scheduled = True
--- a/carawayfold/transport/probes.py
+++ b/carawayfold/transport/probes.py
@@ -1,4 +1,4 @@
-"""Looks whether anybody listens at an address."""
+"""Checks whether a process listens at an address."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     from carawayfold.settings import Address
 
-#: Seconds for a connection: the way there and back takes 3 ms, and a lost opening
-#: packet is sent again only after a second.
+#: Seconds to wait for a connection: a round trip takes 3 ms, and a lost SYN packet is
+#: retransmitted only after 1 s.
 PROBE_TIMEOUT = 0.25
 
 
 class Reach(Enum):
-    """What became of a connection to an address."""
+    """Result of a connection attempt."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -24,10 +24,10 @@
 
 
 async def probe(address: Address) -> Reach:
-    """Open a connection to an address and close it.
+    """Open a connection to an address, close it, and return the result.
 
-    `Reach.REFUSED` means that the machine is there and no process listens, which
-    neither a cut nor a frozen or slow process does.
+    `Reach.REFUSED` means that the host responds and no process listens on the port.
+    A network partition or a frozen or slow process does not give this result.
     """
     try:
         async with asyncio.timeout(PROBE_TIMEOUT):
@@ -35,7 +35,7 @@
     except (ConnectionRefusedError, ConnectionResetError):
         return Reach.REFUSED
     except (TimeoutError, OSError):
-        # No route, no answer, no descriptor: nothing is known of the far end.
+        # No route, no response or no free descriptor: the remote state is unknown.
         return Reach.SILENT
     return Reach.ACCEPTED
 
--- a/carawayfold/transport/rpc.py
+++ b/carawayfold/transport/rpc.py
@@ -1,4 +1,4 @@
-"""The RPC server that peers and operators call."""
+"""gRPC server for peers and operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from carawayfold.settings import Settings
     from carawayfold.transport.links import Links
 
-#: Seconds that open calls get when the server stops.
+#: Seconds that open calls have to complete when the server stops.
 STOP_GRACE = 0.2
 
 
@@ -26,13 +26,13 @@
     Parameters
     ----------
     links : Links
-        Takes accepted links; knows the fleet's secret.
+        Handles accepted links and checks the fleet secret.
     follower : ConfigFollower
-        Configuration to hand over.
+        Provides the configuration that `HandOver` returns.
     pack : callable
-        Encodes a snapshot.
+        Encodes a configuration snapshot.
     outcome_of : callable
-        Says what became of a claimed request.
+        Returns the outcome of a claimed request.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         request_iterator: AsyncIterator[peer_pb2.Frame],
         context: grpc.aio.ServicerContext,
     ) -> AsyncIterator[peer_pb2.Frame]:
-        """Serve a link."""
+        """Serve a link to another router."""
         await self._check(context)
         async for frame in self.links.accept(request_iterator):
             yield frame
@@ -64,7 +64,7 @@
     async def HandOver(  # noqa: N802
         self, request: peer_pb2.HandOverRequest, context: grpc.aio.ServicerContext
     ) -> peer_pb2.HandOverReply:
-        """Hand over the configuration if it is newer than the asker's."""
+        """Return the configuration if it is newer than that of the calling router."""
         await self._check(context)
         snapshot = self.follower.snapshot
         revision = snapshot.through + 1
@@ -75,25 +75,25 @@
     async def AskOutcome(  # noqa: N802
         self, request: peer_pb2.OutcomeRequest, context: grpc.aio.ServicerContext
     ) -> peer_pb2.OutcomeReply:
-        """Say what became of a request whose key was claimed here."""
+        """Return the outcome of a request whose key was claimed on this router."""
         await self._check(context)
         return self.outcome_of(request)
 
 
 class OperatorGate:
-    """Checks operators' tokens.
+    """Authenticates operators by their tokens.
 
     Parameters
     ----------
     settings : Settings
-        Operators and their tokens.
+        Provides the operators and their tokens.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.operators = settings.operators
 
     async def check(self, context: grpc.aio.ServicerContext) -> str:
-        """Return the operator's name, or end the call."""
+        """Return the name of the operator, or abort the call as unauthenticated."""
         metadata = dict(context.invocation_metadata() or ())
         given = str(metadata.get("authorization", "")).removeprefix("Bearer ")
         found = ""
@@ -106,16 +106,16 @@
 
 
 class RpcServer:
-    """Owns the gRPC server.
+    """Runs the gRPC server.
 
     Parameters
     ----------
     settings : Settings
-        Address.
+        Provides the listen address.
     peer : PeerService
-        For other routers.
+        Service for other routers.
     admin : AdminServicer
-        For operators.
+        Service for operators.
     """
 
     def __init__(
--- a/carawayfold/transport/server.py
+++ b/carawayfold/transport/server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP server: circuits.web with bounds and direct writes."""
+"""HTTP server for callers: circuits.web with limits and direct writes."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 logger = logbook.Logger(__name__)
 
-#: End of the headers of a request.
+#: Terminator of the request headers.
 HEADERS_END = b"\r\n\r\n"
 
 
 class BoundedHTTP(HTTP):
-    """HTTP parser component that bounds headers, bodies and slowness.
+    """HTTP parser component with limits for header size, body size and duration.
 
     Parameters
     ----------
     server : EdgeServer
-        Owner.
+        Server that the component belongs to.
     settings : Settings
-        Bounds.
+        Provides the limits.
     """
 
     def __init__(self, server: EdgeServer, settings: Settings, **kwargs: str) -> None:
@@ -49,7 +49,7 @@
     @handler("read", override=True)
     def _on_read(self, sock: socket, data: bytes) -> None:
         if sock in self._clients and sock not in self._buffers:
-            # Pipelining is not supported: an answer is being sent.
+            # Pipelining is not supported, and a response is still being sent.
             self._server.gone(sock)
             self._server.server._close(sock)
             return
@@ -116,13 +116,13 @@
     Parameters
     ----------
     settings : Settings
-        Address and bounds.
+        Provides the listen address and the limits.
     root : Root
-        Tree to run after an event is fired from asyncio.
+        Component tree to process after an event is fired from asyncio code.
     serve : callable
-        Takes a request and its response; answers through `answer` or `begin`.
+        Called with a request and its response; responds with `answer` or `begin`.
     refuse : callable
-        Takes a refusal and returns the bytes of a whole HTTP answer.
+        Called with a refusal; returns the bytes of a complete HTTP response.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
         self.root_component = root
         self.serve = serve
         self.refusal_bytes = refuse
-        #: Called back when the caller of a connection has gone.
+        #: Callbacks by socket, called when the caller disconnects.
         self.watchers: dict[socket, Callable[[], None]] = {}
         self._display_banner = False
         bind = (settings.listen.host, settings.listen.port)
@@ -146,7 +146,7 @@
 
     @handler("ready", override=True)
     def _on_ready(self, server: DirectServer, bind: tuple[str, int]) -> None:
-        """Print no banner."""
+        """Suppress the start-up banner of circuits."""
 
     @handler("request", priority=1)
     def _on_request(self, event: object, req: Request, res: Response) -> bool:
@@ -155,29 +155,29 @@
         return True
 
     def watch(self, req: Request, on_gone: Callable[[], None]) -> None:
-        """Call `on_gone` if the caller of `req` goes away before its answer."""
+        """Call `on_gone` if the caller of `req` disconnects before the response."""
         self.watchers[req.sock] = on_gone
 
     def gone(self, sock: socket) -> None:
-        """Tell whoever watches `sock` that its caller has gone."""
+        """Call the callback for `sock`, whose caller has disconnected."""
         watcher = self.watchers.pop(sock, None)
         if watcher is not None:
             watcher()
 
     def refuse(self, sock: socket, refusal: Refusal) -> None:
-        """Answer a request that could not be parsed, and close."""
+        """Reject a request that could not be parsed, and close the connection."""
         self.server.write(sock, self.refusal_bytes(refusal))
         self.server.close(sock)
 
     def answer(self, res: Response, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.watchers.pop(res.request.sock, None)
         res.body = body
         self.fire(response(res))
         self.root_component.wake()
 
     def begin(self, res: Response) -> None:
-        """Send the head of a streamed answer."""
+        """Send the head of a streamed response."""
         res.stream = True
         res.body = None
         res.chunked = True
@@ -190,17 +190,17 @@
         return res.headers
 
     def send(self, res: Response, data: bytes) -> None:
-        """Send one chunk of a streamed answer."""
+        """Send one chunk of a streamed response."""
         self.server.write(res.request.sock, b"%x\r\n%b\r\n" % (len(data), data))
 
     def end(self, res: Response) -> None:
-        """Finish a streamed answer."""
+        """Finish a streamed response."""
         self.watchers.pop(res.request.sock, None)
         self.server.write(res.request.sock, b"0\r\n\r\n")
         self._finish(res)
 
     def abort(self, res: Response) -> None:
-        """Cut a streamed answer off, so that it can't pass as whole."""
+        """Close the connection without the last chunk, which marks truncation."""
         self.watchers.pop(res.request.sock, None)
         res.close = True
         self._finish(res)
--- a/carawayfold/transport/sockets.py
+++ b/carawayfold/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets that read and write at once, without the library's events."""
+"""Listening sockets that read and write directly, without circuits events."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 logger = logbook.Logger(__name__)
 
-#: Most bytes kept for a caller that reads too slowly before it is cut off.
+#: Maximum number of bytes buffered for a slow reader before its connection closes.
 WRITE_BACKLOG = 1 << 20
-#: Bytes read from a connection at once.
+#: Maximum number of bytes per read from a connection.
 READ_SIZE = 65536
-#: Connections accepted before others get their turn.
+#: Maximum number of connections accepted per loop iteration.
 ACCEPTED_AT_ONCE = 32
-#: Milliseconds after which a connection is lost whose far end acknowledges nothing:
-#: longer than a caller waits for a piece of an answer.
+#: Milliseconds without an acknowledgement after which a connection counts as lost;
+#: longer than a caller waits for a part of a response.
 UNACKNOWLEDGED_MS = 10_000
 
 
 class OpenSockets(dict):
-    """Sockets of a server in order of arrival, found without a search.
+    """Sockets in the order in which they were accepted, with constant-time lookup.
 
-    Stands in for the list that the library keeps, whose search grows with the
-    number of connections on every read and write.
+    Replaces the list used by circuits, which is searched linearly on every read and
+    write.
     """
 
     def append(self, sock: socket) -> None:
@@ -47,13 +47,13 @@
 
 
 class DirectServer(TCPServer):
-    """TCP server that writes at once where the socket takes it.
+    """TCP server that writes directly while the socket accepts data.
 
-    The library queues each write and asks the poller first; for streams of small
-    chunks that costs several events a chunk.
+    circuits queues each write until the poller reports the socket as writable, which
+    takes several events per chunk of a stream.
     """
 
-    #: Most callers' connections at once.
+    #: Maximum number of concurrent connections.
     limit = 4096
 
     def __init__(self, bind: tuple[str, int], channel: str) -> None:
@@ -62,7 +62,7 @@
 
     @handler("write", override=True)
     def write(self, sock: socket, data: bytes) -> None:
-        """Write `data` to `sock` now, or keep what the socket does not take."""
+        """Write `data` to `sock`, buffering what the socket does not accept."""
         if sock not in self._clients:
             return
         queue = self._buffers.get(sock)
@@ -73,7 +73,7 @@
         self._wait_writable(sock)
 
     def _write_now(self, sock: socket, data: bytes) -> bool:
-        """Write `data`; return whether some of it is left."""
+        """Write `data`; return whether a part of it was buffered."""
         try:
             sent = sock.send(data)
         except BlockingIOError:
@@ -93,7 +93,7 @@
             self._poller.addWriter(self, sock)
 
     def stop_listening(self) -> None:
-        """Take no further connection; those that are open stay."""
+        """Stop accepting connections; open connections are kept."""
         if self._sock is not None:
             self._close(self._sock)
 
@@ -105,29 +105,29 @@
 
 
 class ConnectionOwner(Protocol):
-    """Takes what happens on the connections of a `CallbackServer`."""
+    """Interface for the connection callbacks of a `CallbackServer`."""
 
     def opened(self, sock: socket) -> None:
-        """Take a new connection."""
+        """Handle a new connection."""
 
     def received(self, sock: socket, data: bytes) -> None:
-        """Take bytes of a connection."""
+        """Handle data received on a connection."""
 
     def lost(self, sock: socket) -> None:
-        """Let go of a connection."""
+        """Handle a closed or lost connection."""
 
 
 class CallbackServer(DirectServer):
-    """Direct server that tells its owner by calls instead of by events.
+    """Direct server that notifies its owner by calls instead of events.
 
     Parameters
     ----------
     bind : tuple of (str, int)
-        Where to listen.
+        Host and port to listen on.
     channel : str
         Channel of the circuits tree.
     owner : ConnectionOwner
-        Told about connections.
+        Receives the callbacks.
     """
 
     def __init__(
@@ -153,11 +153,11 @@
             self._close(sock)
 
     def on_writable(self, sock: socket) -> None:
-        """Write what is left for a connection."""
+        """Write buffered data to a connection."""
         self._on_write(sock)
 
     def on_hangup(self, sock: socket) -> None:
-        """Let go of a connection that is lost."""
+        """Close a connection that was lost."""
         self._close(sock)
 
     def _accept_some(self) -> None:
@@ -165,7 +165,7 @@
             try:
                 sock, _address = self._sock.accept()
             except OSError as error:
-                # Mostly nothing more is waiting, or the caller has left already.
+                # Usually no connection is pending, or the caller has disconnected.
                 if error.errno in (EMFILE, ENFILE, ENOMEM):
                     logger.warning("no connection taken", extra={"reason": str(error)})
                 return
