--- a/carawayfold/transport/client.py
+++ b/carawayfold/transport/client.py
@@ -29,12 +29,12 @@
 #: Maximum number of bytes per read from a socket.
 READ_SIZE = 65536
 #: Maximum number of idle connections kept per address.
-IDLE_KEPT = 64
+MAX_IDLE_CONNECTIONS = 64
 #: Seconds after which an idle connection is closed instead of reused.
-IDLE_LIFETIME = 20.0
+IDLE_TIMEOUT = 20.0
 #: Fraction of the keep-alive timeout announced by the remote side that is used, so
 #: that the remote side does not close a connection while a request is being sent.
-IDLE_MARGIN = 0.5
+KEEP_ALIVE_FRACTION = 0.5
 #: Methods for which an empty body is sent without ``Content-Length``.
 BODYLESS_METHODS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 
@@ -135,7 +135,7 @@
         Loop time at which it was opened, in seconds.
     used : int
         Number of exchanges started on it.
-    lifetime : float
+    reuse_timeout : float
         Seconds for which it may be reused after it becomes idle.
     """
 
@@ -148,7 +148,7 @@
     heard: float = 0.0
     opened: float = 0.0
     used: int = 0
-    lifetime: float = IDLE_LIFETIME
+    reuse_timeout: float = IDLE_TIMEOUT
 
 
 class HttpClient(BaseComponent):
@@ -173,7 +173,7 @@
         on_data: Callable[[bytes], None],
         fresh: bool = False,
         belongs: Callable[[Head], bool] | None = None,
-        idle_most: float = IDLE_LIFETIME,
+        idle_most: float = IDLE_TIMEOUT,
     ) -> Connection:
         """Start an exchange and return the connection that carries it.
 
@@ -267,7 +267,7 @@
         while idle:
             # The list is ordered by idle time, with the most recently used last.
             connection = idle[-1]
-            if now - connection.heard >= connection.lifetime:
+            if now - connection.heard >= connection.reuse_timeout:
                 self._close(connection)
                 continue
             if now - connection.heard >= idle_most:
@@ -285,7 +285,7 @@
         """Close connections whose idle timeout has expired."""
         now = asyncio.get_running_loop().time()
         for idle in list(self.idle.values()):
-            while idle and now - idle[0].heard >= idle[0].lifetime:
+            while idle and now - idle[0].heard >= idle[0].reuse_timeout:
                 self._close(idle[0])
 
     def _connect(self, address: Address) -> Connection:
@@ -384,11 +384,11 @@
 
         try:
             while data and connection.exchange is exchange:
-                data = self._read_on(connection, exchange, data, take_head)
+                data = self._feed(connection, exchange, data, take_head)
         except MessageError as error:
             self.fail(connection, str(error))
 
-    def _read_on(
+    def _feed(
         self,
         connection: Connection,
         exchange: Exchange,
@@ -421,7 +421,7 @@
             return
         exchange.skipping = False
         exchange.phase = Phase.ANSWERING
-        connection.lifetime = _lifetime(head)
+        connection.reuse_timeout = _reuse_timeout(head)
         exchange.on_head(head)
 
     def _complete(
@@ -447,7 +447,7 @@
 
     def _keep(self, connection: Connection) -> None:
         idle = self.idle.setdefault(connection.address, [])
-        if len(idle) < IDLE_KEPT:
+        if len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
         else:
             self._close(connection)
@@ -478,13 +478,13 @@
             connection.sock.close()
 
 
-def _lifetime(head: Head) -> float:
+def _reuse_timeout(head: Head) -> float:
     """Return the seconds for which the connection may be reused once idle."""
     for part in head.headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
-            return min(IDLE_LIFETIME, int(value) * IDLE_MARGIN)
-    return IDLE_LIFETIME
+            return min(IDLE_TIMEOUT, int(value) * KEEP_ALIVE_FRACTION)
+    return IDLE_TIMEOUT
 
 
 def _head(head: AnswerHead) -> Head:
--- a/carawayfold/transport/datagrams.py
+++ b/carawayfold/transport/datagrams.py
@@ -25,9 +25,9 @@
 logger = logbook.Logger(__name__)
 
 #: Seconds after a datagram to a peer during which further messages to it are batched.
-GATHER = 0.001
+BATCH_DELAY = 0.001
 #: Maximum number of datagrams read per loop iteration.
-READ_AT_ONCE = 128
+MAX_READS_PER_TURN = 128
 #: Maximum size of a received datagram, in bytes.
 READ_SIZE = 65536
 
@@ -57,7 +57,7 @@
         self.loop = asyncio.get_running_loop()
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
-        self.gathered: dict[Address, list[Message]] = {}
+        self.batches: dict[Address, list[Message]] = {}
         #: Address on which peers reach this router; set by `open`.
         self.address = Address("", 0)
         self.sent_bytes = 0
@@ -71,7 +71,7 @@
 
     def _read(self) -> None:
         """Read pending datagrams; one per loop iteration would let a backlog grow."""
-        for _ in range(READ_AT_ONCE):
+        for _ in range(MAX_READS_PER_TURN):
             try:
                 data, source = self.sock.recvfrom(READ_SIZE)
             except BlockingIOError:
@@ -97,13 +97,13 @@
         to a decision in each direction, 10 ms of the 70 ms that a plain request
         takes at a network latency of 2 ms.
         """
-        gathered = self.gathered.get(address)
-        if gathered is None:
-            self.gathered[address] = []
-            self.loop.call_later(GATHER, self._flush, address)
+        batches = self.batches.get(address)
+        if batches is None:
+            self.batches[address] = []
+            self.loop.call_later(BATCH_DELAY, self._flush, address)
             self._send_all(address, [message])
             return
-        gathered.append(message)
+        batches.append(message)
 
     def broadcast(self, addresses: Iterable[Address], message: Message) -> None:
         """Send one message to many peers at once, encoded only once.
@@ -116,7 +116,7 @@
             self._send_data(address, data)
 
     def _flush(self, address: Address) -> None:
-        messages = self.gathered.pop(address, [])
+        messages = self.batches.pop(address, [])
         if messages:
             self._send_all(address, messages)
 
@@ -140,7 +140,7 @@
 
     def flush_all(self) -> None:
         """Send all batched messages."""
-        for address in list(self.gathered):
+        for address in list(self.batches):
             self._flush(address)
 
     def close(self) -> None:
--- a/carawayfold/transport/edge.py
+++ b/carawayfold/transport/edge.py
@@ -1,8 +1,8 @@
-"""Strict HTTP/1.1 server for callers, over circuits' sockets.
+"""Strict HTTP/1.1 server for callers, built on circuits sockets.
 
-circuits.web accepts several forms that let one request hide inside another and
-handles no pipelining, so the head of each request is cut out and checked here before
-it is parsed, and bytes after a request wait until its answer has been sent.
+circuits.web accepts several forms that allow request smuggling and does not support
+pipelining. Here, the head of each request is extracted and checked before it is
+parsed, and bytes after a request are buffered until its response has been sent.
 """
 
 from __future__ import annotations
@@ -39,46 +39,50 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds that a connection may stay without a request; above what callers use.
+#: Seconds that a connection may stay idle; longer than the idle timeout of callers.
 IDLE_TIMEOUT = 16.0
-#: Seconds for the head of a request, from its first byte.
+#: Seconds to receive the head of a request, from its first byte.
 HEAD_TIMEOUT = 3.0
-#: Seconds for the body of a request, from the end of its head.
+#: Seconds to receive the body of a request, from the end of its head.
 BODY_TIMEOUT = 15.0
-#: Most bytes of a request's head.
+#: Maximum size of a request head, in bytes.
 HEAD_LIMIT = 16384
-#: Most bytes of a request's body.
+#: Maximum size of a request body, in bytes.
 BODY_LIMIT = 4 << 20
-#: Most bytes of all bodies being received or forwarded, so that the smallest
-#: instance (128 MB) keeps most of its memory for connections.
+#: Maximum total size of all bodies being received or forwarded, in bytes; leaves most
+#: of the memory of the smallest instance (128 MB) to connections.
 BODIES_LIMIT = 32 << 20
-#: Most bytes that wait behind an unanswered request before its connection ends.
+#: Maximum number of bytes buffered after a request in progress; the connection is
+#: closed if a caller sends more.
 PIPELINE_LIMIT = 65536
-#: A header that tells the length of the body.
-FRAMING = re.compile(rb"\r\n(content-length|transfer-encoding)[ \t]*:", re.IGNORECASE)
-#: The length of a body, where the head tells it plainly.
+#: Header that determines the length of the body.
+FRAMING_HEADER = re.compile(
+    rb"\r\n(content-length|transfer-encoding)[ \t]*:", re.IGNORECASE
+)
+#: ``Content-Length`` header with a plain decimal value.
 PLAIN_LENGTH = re.compile(rb"\r\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r\n", re.I)
-#: What takes parsing: a folded line, an older version, a wish for an answer before
-#: the body is sent.
-INTRICATE = re.compile(rb"\r\n[ \t]|^[^\r]* HTTP/1\.0\r\n|\r\nexpect[ \t]*:", re.I)
-#: A caller that wants the connection closed after the answer.
-CLOSING = re.compile(rb"\r\nconnection[ \t]*:[^\r]*close", re.IGNORECASE)
-#: Asks a caller that waits for it to send the body.
-GO_ON = b"HTTP/1.1 100 \r\n\r\n"
-#: Seconds until a caller comes back that was refused since this process is late; a
-#: new connection goes to another instance, which has room now.
-SHED_RETRY = b"0.02"
-#: Part of the most connections above which answers ask callers to leave, so that
-#: idle connections don't keep new callers out.
-CROWDED_PART = 0.5
-#: Part above which idle connections are closed for new ones, the oldest first.
-FULL_PART = 0.9
-#: Connections looked at for an idle one.
-LOOKED_AT = 64
+#: Heads that need the full parser: a folded line, HTTP/1.0, or an ``Expect`` header.
+NEEDS_PARSER = re.compile(rb"\r\n[ \t]|^[^\r]* HTTP/1\.0\r\n|\r\nexpect[ \t]*:", re.I)
+#: ``Connection`` header that asks to close the connection after the response.
+CONNECTION_CLOSE = re.compile(rb"\r\nconnection[ \t]*:[^\r]*close", re.IGNORECASE)
+#: Interim response to a caller that waits for it before it sends the body.
+CONTINUE_RESPONSE = b"HTTP/1.1 100 \r\n\r\n"
+#: ``Retry-After`` value, in seconds, of requests rejected because this process is
+#: overloaded. It is short because a new connection goes to another instance, which
+#: has capacity.
+SHED_RETRY_AFTER = b"0.02"
+#: Fraction of the connection limit above which responses close their connection, so
+#: that idle connections do not exclude new callers.
+CROWDED_FRACTION = 0.5
+#: Fraction of the connection limit above which each new connection closes the oldest
+#: idle one.
+FULL_FRACTION = 0.9
+#: Maximum number of connections searched for an idle one.
+MAX_IDLE_SEARCH = 64
 
 
 class Stage(Enum):
-    """What a connection is doing."""
+    """State of a connection."""
 
     IDLE = "idle"
     HEAD = "head"
@@ -89,16 +93,16 @@
 
 
 class EdgeLimits(msgspec.Struct, frozen=True):
-    """What a caller may send and how long it may take.
+    """Limits for the size and duration of requests.
 
     Attributes
     ----------
     head_bytes, body_bytes : int
-        Most bytes of a request's head and of its body.
+        Maximum size of a request head and of a request body, in bytes.
     head_timeout : float
-        Seconds for the head.
+        Seconds to receive a head, from its first byte.
     idle_timeout : float
-        Seconds between requests.
+        Seconds that a connection may stay idle between requests.
     """
 
     head_bytes: int = HEAD_LIMIT
@@ -108,22 +112,22 @@
 
 
 class Incoming(msgspec.Struct, eq=False):
-    """A whole request of a caller.
+    """A complete request of a caller.
 
     Attributes
     ----------
     headers : list of tuple of bytes
-        Names in lower case and values, in order.
+        Names in lower case and values, in the order received.
     received : float
-        Loop time at which its last byte was read.
+        Loop time at which its last byte was read, in seconds.
     keep_alive : bool
-        Whether its connection may be used again.
-    newer : bool
-        Whether its caller takes chunks.
+        Whether its connection may be reused.
+    is_http_1_1 : bool
+        Whether the caller uses HTTP/1.1 and so accepts chunked responses.
     chunked : bool
-        Whether its answer goes in chunks.
+        Whether the response uses chunked encoding.
     left : int or None
-        Bytes of the answer's body still to be sent; None where no length was told.
+        Remaining bytes of the response body; None if its length was not declared.
     """
 
     connection: CallerConnection
@@ -131,7 +135,7 @@
     target: bytes
     headers: list[tuple[bytes, bytes]]
     keep_alive: bool = True
-    newer: bool = True
+    is_http_1_1: bool = True
     received: float = 0.0
     body: bytes = b""
     answered: bool = False
@@ -146,7 +150,7 @@
         body: bytes = b"",
         close: bool = False,
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         if self.answered:
             return
         framed = [*headers, ("Content-Length", str(len(body)))]
@@ -158,32 +162,32 @@
     def begin(
         self, status: int, headers: list[tuple[str, str]], close: bool = False
     ) -> None:
-        """Send the head of an answer; without a length it goes in chunks."""
+        """Send the head of a response, chunked if it declares no length."""
         connection = self.connection
         if connection.stage is Stage.CLOSED:
             return
         fields = list(headers)
         self._frame(status, fields)
-        if close or not self.keep_alive or connection.edge.sheds():
+        if close or not self.keep_alive or connection.edge.closes_connections():
             self.keep_alive = False
             fields.append(("Connection", "close"))
         connection.write(answer_head(status, fields))
 
     def _frame(self, status: int, fields: list[tuple[str, str]]) -> None:
-        """Choose how the caller sees where the body ends."""
+        """Select the framing of the response body."""
         lengths = [value for name, value in fields if name.lower() == "content-length"]
         if self.method == b"HEAD" or status in BODYLESS:
             self.left = 0
         elif lengths:
             self.left = int(lengths[0])
-        elif self.newer:
+        elif self.is_http_1_1:
             self.chunked = True
             fields.append(("Transfer-Encoding", "chunked"))
         else:
             self.keep_alive = False
 
     def send(self, data: bytes) -> None:
-        """Send a piece of the answer's body."""
+        """Send a part of the response body."""
         connection = self.connection
         if connection.stage is Stage.CLOSED:
             return
@@ -196,7 +200,7 @@
         connection.write(data)
 
     def end(self) -> None:
-        """Finish the answer; one that is shorter than was told is cut off instead."""
+        """Finish the response; close the connection if the body is incomplete."""
         self.answered = True
         connection = self.connection
         if connection.stage is Stage.CLOSED:
@@ -209,7 +213,7 @@
         connection.finished()
 
     def abort(self) -> None:
-        """End the connection, so that a cut answer can't pass as whole."""
+        """Close the connection, so that the caller detects a truncated response."""
         self.answered = True
         self.connection.close()
 
@@ -220,9 +224,9 @@
     Attributes
     ----------
     pending : bytearray
-        Bytes received and not yet parsed.
+        Bytes received but not yet parsed.
     head : RequestHead or None
-        Of the request whose body is being read.
+        Head of the request whose body is being read.
     """
 
     edge: Edge
@@ -234,8 +238,8 @@
     body: list[bytes] = msgspec.field(default_factory=list)
     body_size: int = 0
     timer: asyncio.TimerHandle | None = None
-    skipped: int = 0
-    refused_head: bytes = b""
+    bytes_to_skip: int = 0
+    rejected_head: bytes = b""
 
     def write(self, data: bytes | None) -> None:
         """Send bytes to the caller."""
@@ -243,18 +247,18 @@
             self.edge.server.write(self.sock, data)
 
     def wait(self, seconds: float, expire: Callable[[], None]) -> None:
-        """Call `expire` unless the connection goes on within `seconds`."""
+        """Start a timer that calls `expire` after `seconds`, replacing any other."""
         self.stop_timer()
         self.timer = asyncio.get_running_loop().call_later(seconds, expire)
 
     def stop_timer(self) -> None:
-        """Forget the time limit that is running."""
+        """Cancel the running timer."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def receive(self, data: bytes) -> None:
-        """Take bytes from the socket."""
+        """Process bytes received from the socket."""
         if self.stage is Stage.CLOSED:
             return
         self.pending += data
@@ -264,7 +268,7 @@
             return
         if self.stage is Stage.IDLE:
             self.stage = Stage.HEAD
-            self.wait(self.edge.limits.head_timeout, self._head_late)
+            self.wait(self.edge.limits.head_timeout, self._head_timed_out)
         self._advance()
 
     def _advance(self) -> None:
@@ -287,7 +291,7 @@
         size = len(self.pending) if end < 0 else end
         if size > self.edge.limits.head_bytes:
             raise Refusal(ErrorKind.HEADERS_TOO_LARGE)
-        # A lone CR at the end may still get its LF.
+        # The LF after a CR at the end may not have arrived yet.
         seen = self.pending[:end] if end >= 0 else self.pending.removesuffix(b"\r")
         if FORBIDDEN.search(seen):
             detail = "a control character or a bare line end in the head"
@@ -300,31 +304,33 @@
         if length is None or length > self.edge.limits.body_bytes:
             self._parse_head(head)
             return
-        self.refused_head = head
-        self.skipped = length
+        self.rejected_head = head
+        self.bytes_to_skip = length
         self.stage = Stage.SKIPPING
-        self.wait(BODY_TIMEOUT, self._body_late)
+        self.wait(BODY_TIMEOUT, self._body_timed_out)
 
     def _skip_body(self) -> None:
-        """Pass over the body of a refused request, then answer without parsing it.
+        """Skip the body of a rejected request, then respond without parsing it.
 
-        That spares a process that is late the parser, and a new connection for the
-        caller's next request.
+        This saves an overloaded process the parsing, and a new connection for the
+        next request of the caller.
         """
-        part = min(self.skipped, len(self.pending))
+        part = min(self.bytes_to_skip, len(self.pending))
         del self.pending[:part]
-        self.skipped -= part
-        if self.skipped:
+        self.bytes_to_skip -= part
+        if self.bytes_to_skip:
             return
-        found = self.edge.id_pattern.search(self.refused_head)
+        found = self.edge.id_pattern.search(self.rejected_head)
         named = b"%b: %b\r\n" % found.groups() if found else b""
-        closing = self.edge.sheds() or CLOSING.search(self.refused_head)
+        closing = self.edge.closes_connections() or CONNECTION_CLOSE.search(
+            self.rejected_head
+        )
         close = b"Connection: close\r\n" if closing else b""
         self.write(
             b"HTTP/1.1 503 Service Unavailable\r\n%bRetry-After: %b\r\n%b"
-            b"Content-Length: 0\r\n\r\n" % (named, SHED_RETRY, close)
+            b"Content-Length: 0\r\n\r\n" % (named, SHED_RETRY_AFTER, close)
         )
-        self.refused_head = b""
+        self.rejected_head = b""
         self.edge.on_shed(found.group(2).decode("ascii") if found else "")
         if closing:
             self.close()
@@ -339,15 +345,15 @@
             self.head.target,
             self.head.fields,
             self.head.keep_alive,
-            self.head.newer,
+            self.head.is_http_1_1,
         )
         self.body = []
         self.body_size = 0
         self.stage = Stage.BODY
-        self.wait(BODY_TIMEOUT, self._body_late)
+        self.wait(BODY_TIMEOUT, self._body_timed_out)
         self._check_length(self.head.fields)
         if self.head.awaits_continue and not self.pending:
-            self.write(GO_ON)
+            self.write(CONTINUE_RESPONSE)
 
     def _check_length(self, headers: list[tuple[bytes, bytes]]) -> None:
         for name, value in headers:
@@ -384,8 +390,8 @@
         self.edge.serve(request)
 
     def finished(self) -> None:
-        """Go on after an answer, with what the caller has sent meanwhile."""
-        self._forget_body()
+        """Continue after a response, with any data received in the meantime."""
+        self._release_body()
         keep_alive = self.request.keep_alive
         self.request = None
         if not keep_alive or self.edge.stopping:
@@ -394,7 +400,7 @@
         self._await_next()
 
     def _await_next(self) -> None:
-        """Wait for the next request, a part of which may have come already."""
+        """Wait for the next request, a part of which may already be buffered."""
         self.stage = Stage.IDLE
         self.wait(self.edge.limits.idle_timeout, self.close)
         if self.pending:
@@ -405,12 +411,12 @@
         if self.stage is Stage.IDLE:
             self.receive(b"")
 
-    def _forget_body(self) -> None:
+    def _release_body(self) -> None:
         self.edge.bodies -= self.body_size
         self.body_size = 0
 
     def refuse(self, refusal: Refusal) -> None:
-        """Answer what can't be taken as a request, and close."""
+        """Reject an invalid request and close the connection."""
         self.stop_timer()
         self.stage = Stage.ANSWERING
         status = refusal.answer.status
@@ -421,14 +427,14 @@
         self.write(phrase + b"Content-Length: 0\r\nConnection: close\r\n\r\n")
         self.close()
 
-    def _head_late(self) -> None:
+    def _head_timed_out(self) -> None:
         self.refuse(Refusal(ErrorKind.REQUEST_TIMEOUT, "the head came too slowly"))
 
-    def _body_late(self) -> None:
+    def _body_timed_out(self) -> None:
         self.refuse(Refusal(ErrorKind.REQUEST_TIMEOUT, "the body came too slowly"))
 
     def close(self) -> None:
-        """Close once everything written has been sent."""
+        """Close the connection once all written data has been sent."""
         if self.stage is Stage.CLOSED:
             return
         self.lost()
@@ -436,12 +442,12 @@
         self.edge.root.wake()
 
     def lost(self) -> None:
-        """Let go of everything after the socket is of no more use."""
+        """Release all resources after the socket has been closed or lost."""
         if self.stage is Stage.CLOSED:
             return
         self.stage = Stage.CLOSED
         self.stop_timer()
-        self._forget_body()
+        self._release_body()
         self.edge.connections.pop(self.sock, None)
         request = self.request
         self.request = None
@@ -450,18 +456,18 @@
 
 
 class Edge(BaseComponent):
-    """Listens for callers and hands their requests on.
+    """Accepts connections of callers and passes on their requests.
 
     Parameters
     ----------
     address : Address
-        Where to listen.
+        Address to listen on.
     serve : callable
-        Takes each whole request and answers it in time.
+        Called with each complete request; responds to it, possibly later.
     channel : str
-        Channel of the circuits tree for this server.
+        Name that addresses this component in the circuits tree.
     id_header : str
-        Name of the header by which a caller knows its request.
+        Name of the header that holds the request id set by the caller.
     """
 
     def __init__(
@@ -474,72 +480,72 @@
         super().__init__(channel=channel)
         self.serve = serve
         self.limits = EdgeLimits()
-        #: Whether no new work is taken.
+        #: Whether new requests are no longer accepted.
         self.stopping = False
-        #: The header by which a caller knows its request, and its value.
+        #: Pattern of the request id header; its groups are name and value.
         self.id_pattern = header_pattern(id_header)
-        #: Whether to refuse the next request since this process is late, and who is
-        #: told of each one refused by its id.
+        #: `refuses` returns whether to reject the next request because this process is
+        #: overloaded; `on_shed` receives the id of each request rejected for that.
         self.refuses: Callable[[], bool] = lambda: False
         self.on_shed: Callable[[str], None] = lambda request: None
         self.connections: dict[socket, CallerConnection] = {}
-        #: Bytes of all bodies held.
+        #: Total size of all bodies in memory, in bytes.
         self.bodies = 0
         bind = (address.host, address.port)
         self.server = CallbackServer(bind, channel, self).register(self)
 
     @property
     def limit(self) -> int:
-        """Return the most connections."""
+        """Return the maximum number of connections."""
         return self.server.limit
 
     @limit.setter
     def limit(self, connections: int) -> None:
         self.server.limit = connections
 
-    def sheds(self) -> bool:
-        """Return whether answers ask callers to leave."""
-        crowded = len(self.connections) > CROWDED_PART * self.limit
+    def closes_connections(self) -> bool:
+        """Return whether responses close their connection."""
+        crowded = len(self.connections) > CROWDED_FRACTION * self.limit
         return self.stopping or crowded
 
     def opened(self, sock: socket) -> None:
-        """Take a new connection."""
+        """Handle a new connection."""
         connection = CallerConnection(self, sock)
         self.connections[sock] = connection
         connection.wait(self.limits.idle_timeout, connection.close)
-        if len(self.connections) > FULL_PART * self.limit:
+        if len(self.connections) > FULL_FRACTION * self.limit:
             self._close_oldest()
 
     def _close_oldest(self) -> None:
-        """Close the oldest idle connection among the oldest ones."""
-        for connection in islice(self.connections.values(), LOOKED_AT):
+        """Close the oldest idle one of the `MAX_IDLE_SEARCH` oldest connections."""
+        for connection in islice(self.connections.values(), MAX_IDLE_SEARCH):
             if connection.stage is Stage.IDLE:
                 connection.close()
                 return
 
     def received(self, sock: socket, data: bytes) -> None:
-        """Take bytes of a connection."""
+        """Handle data received on a connection."""
         connection = self.connections.get(sock)
         if connection is not None:
             connection.receive(data)
 
     def lost(self, sock: socket) -> None:
-        """Let go of a connection."""
+        """Handle a closed or lost connection."""
         connection = self.connections.get(sock)
         if connection is not None:
             connection.lost()
 
     def close_idle(self) -> None:
-        """Close connections on which no request is under way."""
+        """Close connections without a request in progress."""
         for connection in list(self.connections.values()):
             if connection.stage is Stage.IDLE:
                 connection.close()
         self.root.wake()
 
     def shut(self) -> None:
-        """Take no new connection and no new request; what runs goes on.
+        """Stop accepting connections and requests; requests in progress continue.
 
-        A request that is not read yet may be sent elsewhere by its caller.
+        The caller may retry a request that was not completely received elsewhere.
         """
         self.stopping = True
         self.server.stop_listening()
@@ -550,16 +556,16 @@
 
 
 def header_pattern(name: str) -> re.Pattern[bytes]:
-    """Return what finds a header's name and a value of visible characters."""
+    """Return a pattern that matches a header with a value of visible characters."""
     text = rb"\r\n(%b):[ \t]*([!-~]{1,128})[ \t]*\r\n" % re.escape(name.encode())
     return re.compile(text, re.IGNORECASE)
 
 
 def _plain_length(head: bytes) -> int | None:
-    """Return the length of a body that can be passed over, None if it takes parsing."""
-    if INTRICATE.search(head):
+    """Return the length of a body that can be skipped, None if it needs the parser."""
+    if NEEDS_PARSER.search(head):
         return None
-    names = FRAMING.findall(head)
+    names = FRAMING_HEADER.findall(head)
     if not names:
         return 0
     found = PLAIN_LENGTH.findall(head)
--- a/carawayfold/transport/links.py
+++ b/carawayfold/transport/links.py
@@ -28,7 +28,7 @@
 #: Metadata key of the shared fleet secret.
 SECRET_KEY = "x-fleet-secret"
 #: Maximum number of frames queued for a slow peer before the link is closed.
-SEND_BACKLOG = 1000
+MAX_SEND_BACKLOG = 1000
 #: gRPC options. The local subchannel pool keeps a new gRPC channel from sharing the
 #: connection of one that no longer responds.
 CHANNEL_OPTIONS = [
@@ -72,12 +72,12 @@
         return cls(Meter())
 
     def send(self, frame: peer_pb2.Frame) -> None:
-        """Queue a frame; close the link if its queue exceeds `SEND_BACKLOG`."""
+        """Queue a frame; close the link if its queue exceeds `MAX_SEND_BACKLOG`."""
         if self.closed:
             return
         self.meter.count(frame.ByteSize())
         self.outgoing.put_nowait(frame)
-        if self.outgoing.qsize() > SEND_BACKLOG:
+        if self.outgoing.qsize() > MAX_SEND_BACKLOG:
             self.close()
 
     def close(self) -> None:
--- a/carawayfold/transport/loop.py
+++ b/carawayfold/transport/loop.py
@@ -53,15 +53,15 @@
 
     def addReader(self, source: object, fd: socket) -> None:  # noqa: N802
         """Start watching a socket for readability."""
-        self._know(source, fd)
+        self._register_target(source, fd)
         super().addReader(source, fd)
 
     def addWriter(self, source: object, fd: socket) -> None:  # noqa: N802
         """Start watching a socket for writability."""
-        self._know(source, fd)
+        self._register_target(source, fd)
         super().addWriter(source, fd)
 
-    def _know(self, source: object, fd: socket) -> None:
+    def _register_target(self, source: object, fd: socket) -> None:
         kind = type(source)
         if kind not in self.direct:
             self.direct[kind] = isinstance(source, DirectTarget)
--- a/carawayfold/transport/messages.py
+++ b/carawayfold/transport/messages.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 messages: llhttp parses heads and chunks, everything else is counted here.
+"""HTTP/1.1 messages: llhttp parses heads and chunks, other bodies are counted here.
 
-A parser lives for one message and is never given a byte beyond it, so no state of one
-request or answer reaches the next, and bytes past an answer's end are seen as such.
-What the parser would let pass but could be read in two ways is refused before it.
+A parser is used for one message only and never receives bytes beyond it, so no state
+is carried over to the next message, and bytes after the end of a response are detected.
+Input that the parser accepts but that is ambiguous is rejected before it is parsed.
 """
 
 from __future__ import annotations
@@ -20,30 +20,31 @@
 
 HEAD_END = b"\r\n\r\n"
 LINE_END = b"\n"
-#: Most bytes of an answer's head: what endpoints and the platform send has 2 KB.
+#: Maximum size of a response head, in bytes; endpoints and the platform send 2 KB.
 ANSWER_HEAD_LIMIT = 65536
-#: Most bytes between two pieces of content in chunks: a size, or trailers.
+#: Maximum number of framing bytes between two parts of chunked content: chunk sizes
+#: or trailers.
 CHUNK_FRAME_LIMIT = 4096
-#: A request line that is taken; the parser knows other protocols' ones as well.
+#: Accepted request lines; the parser also accepts those of other protocols.
 REQUEST_LINE = re.compile(
     rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]{1,32} (/[!-~]*) HTTP/1\.([01])\r\n"
 )
-#: A length in digits alone.
+#: Accepted ``Content-Length`` values: digits only.
 LENGTH = re.compile(rb"[0-9]{1,18}")
-#: Bytes that no head may hold: control characters, and line ends that are not CR LF.
+#: Bytes not allowed in a head: control characters, and line ends other than CR LF.
 FORBIDDEN = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]|(?<!\r)\n|\r(?!\n)")
 #: A header line that continues the one before it.
 FOLDED = re.compile(rb"\r\n[ \t]")
-#: Statuses of answers that never have a body.
+#: Status codes of responses that never have a body.
 BODYLESS = frozenset({204, 304})
 
 
 class MessageError(Exception):
-    """Bytes are no message, or one that could be read in two ways."""
+    """The bytes are not a valid message, or the message is ambiguous."""
 
 
 class _Collector:
-    """Takes what the parser finds."""
+    """Collects the results of the parser callbacks."""
 
     __slots__ = ("fields", "complete", "data")
 
@@ -53,67 +54,67 @@
         self.data: list[bytes] = []
 
     def take_fields(self) -> Fields:
-        """Return the head's headers; trailers that follow are never among them."""
+        """Return the headers of the head; trailers are never included."""
         fields = self.fields
         self.fields = []
         return fields
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header line."""
+        """Store one header."""
         self.fields.append((name.lower(), value.strip(b" \t")))
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of a chunk."""
+        """Store a part of a chunk."""
         self.data.append(data)
 
     def on_message_complete(self) -> None:
-        """Note that the last chunk and its trailers have been read."""
+        """Record that the last chunk and the trailers have been read."""
         self.complete = True
 
 
 class ChunkedBody:
-    """Reads a body in chunks, and not a byte more.
+    """Reads a chunked body without consuming bytes after it.
 
     Parameters
     ----------
     parser : httptools.HttpParser
-        Which has read the message's head.
+        Parser that has read the head of the message.
     collector : _Collector
-        What that parser reports to.
+        Object that receives the callbacks of the parser.
     """
 
     def __init__(self, parser: object, collector: _Collector) -> None:
         self.parser = parser
         self.collector = collector
-        #: Bytes since the last content.
+        #: Framing bytes since the last content.
         self.framing = 0
-        #: Whether the last chunk may have begun.
-        self.near_end = False
+        #: Whether the last chunk may have started.
+        self.may_end = False
 
     def feed(self, data: bytes) -> tuple[list[bytes], bytes, bool]:
-        """Read on.
+        """Process received bytes.
 
-        A message ends with the end of a line after a chunk of size 0. Where one may
-        have begun, the parser gets the bytes line by line and is stopped right after
-        the last one; everything before goes to it at once.
+        A message ends with a line end after a chunk of size 0. From where that chunk
+        may have started, the parser gets the bytes line by line and stops directly
+        after the last line; all bytes before are passed to it at once.
 
         Returns
         -------
         pieces : list of bytes
-            Content, without the chunks' framing.
+            Content without the chunk framing.
         rest : bytes
-            What follows the message.
+            Bytes after the message.
         complete : bool
-            Whether the message is whole.
+            Whether the message is complete.
 
         Raises
         ------
         MessageError
-            If the bytes are no chunks.
+            If the chunked encoding is invalid.
         """
         collector = self.collector
         if data.startswith(b"0") or b"\n0" in data:
-            self.near_end = True
+            self.may_end = True
         start = 0
         try:
             while start < len(data) and not collector.complete:
@@ -130,8 +131,8 @@
         return pieces, data[start:], collector.complete
 
     def _safe_end(self, data: bytes, start: int) -> int:
-        """Return up to a place before which the message does not end."""
-        if not self.near_end:
+        """Return an end up to which the parser consumes only bytes of this message."""
+        if not self.may_end:
             return len(data)
         return data.find(LINE_END, start) + 1 or len(data)
 
@@ -143,17 +144,17 @@
         self.left = length
 
     def feed(self, data: bytes) -> tuple[list[bytes], bytes, bool]:
-        """Read on; see `ChunkedBody.feed`."""
+        """Process received bytes; see `ChunkedBody.feed`."""
         part = data[: self.left]
         self.left -= len(part)
         return [part] if part else [], data[len(part) :], not self.left
 
 
 class EndlessBody:
-    """Reads a body that ends with its connection."""
+    """Reads a body that ends when the connection is closed."""
 
     def feed(self, data: bytes) -> tuple[list[bytes], bytes, bool]:
-        """Read on; see `ChunkedBody.feed`."""
+        """Process received bytes; see `ChunkedBody.feed`."""
         return [data] if data else [], b"", False
 
 
@@ -161,20 +162,20 @@
 
 
 class RequestHead(msgspec.Struct):
-    """The head of a request, and how its body is framed.
+    """Head of a request and the framing of its body.
 
     Attributes
     ----------
     fields : list of tuple of bytes
-        Headers in order, their names in lower case.
+        Headers in order, with names in lower case.
     body : CountedBody or ChunkedBody
-        Reads the body.
+        Reader for the body.
     keep_alive : bool
-        Whether its caller may use the connection again.
+        Whether the connection may be reused.
     awaits_continue : bool
-        Whether its caller sends the body only once it has been told to go on.
-    newer : bool
-        Whether the caller speaks HTTP/1.1, and so takes chunks.
+        Whether the caller waits for ``100 Continue`` before it sends the body.
+    is_http_1_1 : bool
+        Whether the caller uses HTTP/1.1 and so accepts chunked responses.
     """
 
     method: bytes
@@ -183,11 +184,11 @@
     body: Body
     keep_alive: bool
     awaits_continue: bool
-    newer: bool
+    is_http_1_1: bool
 
 
 class AnswerHead(msgspec.Struct):
-    """The head of an answer; see `RequestHead`."""
+    """Head of a response; see `RequestHead`."""
 
     status: int
     fields: Fields
@@ -196,17 +197,17 @@
 
 
 def read_request_head(head: bytes) -> RequestHead:
-    """Return what the head of a request says.
+    """Parse the head of a request.
 
     Parameters
     ----------
     head : bytes
-        Up to the empty line and with it.
+        Bytes up to and including the empty line.
 
     Raises
     ------
     MessageError
-        If it is not strictly in the protocol, or its body has no clear length.
+        If it violates the protocol, or the length of the body is ambiguous.
     """
     line = REQUEST_LINE.match(head)
     if line is None:
@@ -217,19 +218,19 @@
     parser = httptools.HttpRequestParser(collector)
     _feed_head(parser, head)
     fields = collector.take_fields()
-    newer = line.group(2) == b"1"
+    is_http_1_1 = line.group(2) == b"1"
     hosts = sum(name == b"host" for name, _ in fields)
-    if hosts > 1 or (newer and not hosts):
+    if hosts > 1 or (is_http_1_1 and not hosts):
         raise MessageError("not one host")
     options = _connection_options(fields)
     return RequestHead(
         method=parser.get_method(),
         target=line.group(1),
         fields=fields,
-        body=_request_body(parser, collector, fields, newer),
-        keep_alive=newer and b"close" not in options,
-        awaits_continue=newer and _awaits_continue(fields),
-        newer=newer,
+        body=_request_body(parser, collector, fields, is_http_1_1),
+        keep_alive=is_http_1_1 and b"close" not in options,
+        awaits_continue=is_http_1_1 and _awaits_continue(fields),
+        is_http_1_1=is_http_1_1,
     )
 
 
@@ -237,7 +238,7 @@
     try:
         parser.feed_data(head)
     except httptools.HttpParserUpgrade:
-        # Another protocol is offered; the request is answered in this one.
+        # The optional upgrade is ignored and the request handled as HTTP/1.1.
         return
     except httptools.HttpParserError as error:
         raise MessageError(str(error)) from None
@@ -259,10 +260,10 @@
 
 
 def _request_body(
-    parser: object, collector: _Collector, fields: Fields, newer: bool
+    parser: object, collector: _Collector, fields: Fields, is_http_1_1: bool
 ) -> Body:
     length, chunked = _framing(fields)
-    if chunked and not newer:
+    if chunked and not is_http_1_1:
         raise MessageError("chunks in HTTP/1.0")
     if chunked:
         return ChunkedBody(parser, collector)
@@ -270,12 +271,12 @@
 
 
 def _framing(fields: Fields) -> tuple[int | None, bool]:
-    """Return the length that a head tells, None for none, and whether chunks follow.
+    """Return the declared body length, or None, and whether the body is chunked.
 
     Raises
     ------
     MessageError
-        If it tells more than one length, or none that is understood.
+        If there is more than one length, or one that is invalid or unsupported.
     """
     framing = [
         (name, value)
@@ -297,17 +298,17 @@
 
 
 class AnswerReader(msgspec.Struct):
-    """Reads one answer.
+    """Incremental reader for one response.
 
     Parameters
     ----------
     method : str
-        Of the request; the answer to HEAD has no body.
+        Method of the request; the response to HEAD has no body.
 
     Attributes
     ----------
     head : AnswerHead or None
-        Once it has been read.
+        Head of the response; None until it has been read.
     """
 
     method: str
@@ -317,7 +318,7 @@
     def feed(
         self, data: bytes, on_head: Callable[[AnswerHead], None]
     ) -> tuple[list[bytes], bytes, bool]:
-        """Read on; `on_head` is called before any content is returned.
+        """Process received bytes; call `on_head` before any content is returned.
 
         Returns
         -------
@@ -327,7 +328,7 @@
         Raises
         ------
         MessageError
-            If the bytes are no answer.
+            If the bytes are not a valid response.
         """
         if self.head is None:
             self.buffered += data
@@ -338,11 +339,11 @@
         return self.head.body.feed(data)
 
     def close(self) -> bool:
-        """Return whether the end of the connection makes the answer whole."""
+        """Return whether the response is complete when the connection ends."""
         return self.head is not None and isinstance(self.head.body, EndlessBody)
 
     def _take_head(self) -> bytes:
-        """Take the head, passing over interim ones; return what follows it."""
+        """Read the head, skipping interim responses; return the bytes after it."""
         while True:
             end = self.buffered.find(HEAD_END)
             if end < 0:
@@ -359,7 +360,7 @@
             return rest
 
     def _check_partial(self) -> None:
-        """Refuse early what can never become a head."""
+        """Reject incomplete data that cannot become a valid head."""
         if len(self.buffered) > ANSWER_HEAD_LIMIT:
             raise MessageError("the head of the answer is too large")
         start = b"HTTP/1."
@@ -368,7 +369,7 @@
 
 
 def _read_answer_head(head: bytes, method: str) -> AnswerHead | None:
-    """Return what an answer's head says; None for one that announces the real one."""
+    """Parse the head of a response; return None for an interim response."""
     if FORBIDDEN.search(head) or FOLDED.search(head):
         raise MessageError("a control character, bare line end or folded line")
     collector = _Collector()
@@ -401,14 +402,14 @@
 def request_bytes(
     method: str, target: str, headers: list[tuple[str, str]], body: bytes
 ) -> bytes:
-    """Return a whole request; `headers` hold what is needed to frame `body`."""
+    """Return a complete request; `headers` include the framing of `body`."""
     lines = [f"{method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers]
     return _join(lines) + body
 
 
 def answer_head(status: int, headers: list[tuple[str, str]]) -> bytes:
-    """Return the head of an answer; `headers` hold what frames its body."""
+    """Return the head of a response; `headers` include the framing of its body."""
     lines = [f"HTTP/1.1 {status} "]
     lines += [f"{name}: {value}" for name, value in headers]
     return _join(lines)
@@ -416,16 +417,16 @@
 
 def _join(lines: list[str]) -> bytes:
     head = "\r\n".join(lines) + "\r\n\r\n"
-    # A value with a line end would let its writer speak for this program.
+    # A line end in a value would allow header injection.
     if head.count("\n") != len(lines) + 1 or head.count("\r") != len(lines) + 1:
         raise MessageError("a line end within a header")
     return head.encode("latin-1")
 
 
 def chunk(data: bytes) -> bytes:
-    """Return one chunk; empty `data` would end the body and gives nothing."""
+    """Return one chunk, or nothing for empty `data`, which would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
-#: Ends a body in chunks.
+#: Last chunk, which ends a chunked body.
 LAST_CHUNK = b"0\r\n\r\n"
--- a/carawayfold/transport/sockets.py
+++ b/carawayfold/transport/sockets.py
@@ -16,14 +16,14 @@
 logger = logbook.Logger(__name__)
 
 #: Maximum number of bytes buffered for a slow reader before its connection closes.
-WRITE_BACKLOG = 1 << 20
+MAX_WRITE_BACKLOG = 1 << 20
 #: Maximum number of bytes per read from a connection.
 READ_SIZE = 65536
 #: Maximum number of connections accepted per loop iteration.
-ACCEPTED_AT_ONCE = 32
+MAX_ACCEPTS_PER_TURN = 32
 #: Milliseconds without an acknowledgement after which a connection counts as lost;
 #: longer than a caller waits for a part of a response.
-UNACKNOWLEDGED_MS = 10_000
+UNACKNOWLEDGED_TIMEOUT_MS = 10_000
 
 
 class OpenSockets(dict):
@@ -87,7 +87,7 @@
         return True
 
     def _wait_writable(self, sock: socket) -> None:
-        if sum(map(len, self._buffers[sock])) > WRITE_BACKLOG:
+        if sum(map(len, self._buffers[sock])) > MAX_WRITE_BACKLOG:
             self._close(sock)
         elif not self._poller.isWriting(sock):
             self._poller.addWriter(self, sock)
@@ -161,7 +161,7 @@
         self._close(sock)
 
     def _accept_some(self) -> None:
-        for _ in range(ACCEPTED_AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _address = self._sock.accept()
             except OSError as error:
@@ -177,7 +177,7 @@
             return
         sock.setblocking(False)
         sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
-        sock.setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+        sock.setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         self._poller.addReader(self, sock)
         self._clients.append(sock)
         self.owner.opened(sock)
--- a/tests/transport/test_client.py
+++ b/tests/transport/test_client.py
@@ -1,4 +1,4 @@
-"""Exchanges that are given up from within their own callbacks."""
+"""Exchanges that are cancelled from within their own callbacks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 ANSWER = b"HTTP/1.1 200 \r\nContent-Length: 4\r\n\r\nbody"
 
 
-def test_nothing_is_handed_on_after_the_head_made_its_taker_give_up():
+def test_no_data_is_passed_on_after_the_head_callback_cancels():
     async def work():
         async def answer(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
--- a/tests/transport/test_datagrams.py
+++ b/tests/transport/test_datagrams.py
@@ -23,10 +23,10 @@
     return made
 
 
-def test_a_broadcast_reaches_every_peer_though_one_cannot_be_sent_to():
+def test_broadcast_reaches_all_peers_when_sending_to_one_fails():
     peers = receivers(3)
     addresses = [address for _, address in peers]
-    # No datagram may be sent to this address without a permission.
+    # Sending to the broadcast address fails without SO_BROADCAST.
     addresses.insert(1, Address("255.255.255.255", 9))
 
     async def run():
@@ -47,7 +47,7 @@
     assert {(item.sender, item.incarnation) for item in got} == {("router-0", 5)}
 
 
-def test_the_first_message_goes_at_once_and_those_after_it_together():
+def test_first_message_is_sent_at_once_and_later_ones_are_batched():
     ((sock, address),) = receivers(1)
 
     async def run():
@@ -57,7 +57,7 @@
             for _ in range(3):
                 peer_socket.send(address, BEAT)
             at_once = peer_socket.sent_datagrams
-            while peer_socket.gathered:
+            while peer_socket.batches:
                 await asyncio.sleep(0.001)
         finally:
             peer_socket.close()
--- a/tests/transport/test_edge.py
+++ b/tests/transport/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge refuses without parsing while the process is late."""
+"""Rejection without parsing while the process is overloaded."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def exchange(data, refuses=True, answers=1):
-    """Send bytes to an edge; return what came back, what was served, and shed."""
+    """Send bytes to an edge; return the output, served requests and rejected ids."""
 
     async def run():
         served, shed = [], []
@@ -50,7 +50,7 @@
     return asyncio.run(asyncio.wait_for(run(), 10))
 
 
-def test_a_refused_request_is_answered_and_its_connection_kept():
+def test_rejected_request_gets_a_response_and_keeps_its_connection():
     got, served, shed = exchange([PLAIN + PLAIN], answers=2)
     assert served == []
     assert shed == ["r-1", "r-1"]
@@ -60,14 +60,14 @@
     assert b"Connection: close" not in got
 
 
-def test_a_body_that_comes_in_pieces_is_passed_over():
+def test_body_received_in_parts_is_skipped():
     pieces = [PLAIN[:-4], b"bo", b"dy" + PLAIN]
     got, served, shed = exchange(pieces, answers=2)
     assert (served, len(shed)) == ([], 2)
     assert got.count(b"HTTP/1.1 503 ") == 2
 
 
-def test_a_caller_that_wants_to_close_is_let_go():
+def test_connection_close_header_closes_the_connection():
     data = PLAIN.replace(b"Host: x", b"Host: x\r\nConnection: close")
     got, _, shed = exchange([data], answers=2)
     assert got.count(b"HTTP/1.1 503 ") == 1
@@ -86,14 +86,14 @@
         b"Content-Length: +4",
     ],
 )
-def test_what_is_not_plainly_framed_goes_to_the_parser(head):
+def test_requests_without_plain_framing_are_parsed(head):
     data = b"POST /a HTTP/1.1\r\nHost: x\r\n" + head + b"\r\n\r\n"
     data += b"4\r\nbody\r\n0\r\n\r\n" if b"chunked" in head else b"body"
     _, _, shed = exchange([data])
     assert shed == []
 
 
-def test_nothing_is_refused_in_time():
+def test_no_request_is_rejected_without_overload():
     got, served, shed = exchange([PLAIN], refuses=False)
     assert served == [(b"/a", b"body")]
     assert shed == []
--- a/tests/transport/test_messages.py
+++ b/tests/transport/test_messages.py
@@ -1,4 +1,4 @@
-"""Heads, bodies and chunks: what is refused, and that no byte is misplaced."""
+"""Heads, bodies and chunks: rejected input and exact message boundaries."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("lines", REFUSED.values(), ids=REFUSED)
-def test_a_head_that_could_be_read_in_two_ways_is_refused(lines):
+def test_ambiguous_head_is_rejected(lines):
     with pytest.raises(MessageError):
         read_request_head(head_with(lines))
 
@@ -64,12 +64,12 @@
         b"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n",
     ],
 )
-def test_a_request_line_that_is_not_this_protocol_is_refused(start):
+def test_request_line_of_another_protocol_is_rejected(start):
     with pytest.raises(MessageError):
         read_request_head(head_with(b"X-A: 1", start))
 
 
-def test_a_plain_head_is_read():
+def test_plain_head_is_parsed():
     lines = b"X-Api-Key: k \r\nCONTENT-LENGTH: 5\r\nExpect: 100-Continue"
     head = read_request_head(head_with(lines))
     assert (head.method, head.target) == (b"POST", b"/a")
@@ -79,7 +79,7 @@
     assert head.body.feed(b"12345GET") == ([b"12345"], b"GET", True)
 
 
-def test_an_offer_of_another_protocol_is_answered_in_this_one():
+def test_upgrade_header_is_ignored():
     head = read_request_head(head_with(b"Connection: Upgrade\r\nUpgrade: websocket"))
     assert head.target == b"/a"
     assert head.body.feed(b"next") == ([], b"next", True)
@@ -93,13 +93,13 @@
 
 
 @pytest.mark.parametrize("size", [b"+4", b"4 4", b"-4", b"0x4", b"g", b"", b" 4"])
-def test_a_bad_chunk_size_is_refused(size):
+def test_invalid_chunk_size_is_rejected(size):
     head = read_request_head(head_with(b"Transfer-Encoding: chunked"))
     with pytest.raises(MessageError):
         head.body.feed(size + b"\r\nbody\r\n0\r\n\r\n")
 
 
-def test_endless_trailers_are_refused():
+def test_unlimited_trailers_are_rejected():
     head = read_request_head(head_with(b"Transfer-Encoding: chunked"))
     head.body.feed(b"4\r\nbody\r\n0\r\n")
     with pytest.raises(MessageError):
@@ -112,9 +112,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(bodies=bodies, following=st.binary(max_size=20), data=st.data())
-def test_chunks_cut_anywhere_give_the_content_and_nothing_of_what_follows(
-    bodies, following, data
-):
+def test_chunks_split_anywhere_give_only_their_content(bodies, following, data):
     sent = b"".join(chunk(part) for part in bodies) + b"0\r\n\r\n" + following
     head = read_request_head(head_with(b"Transfer-Encoding: chunked"))
     got, complete, rest = [], False, b""
@@ -138,8 +136,8 @@
 
 @settings(max_examples=300, deadline=None)
 @given(fields=st.lists(st.tuples(tokens, values), max_size=5))
-def test_a_head_reads_as_another_parser_reads_it(fields):
-    """Whatever is taken here means the same to h11; what h11 refuses is refused."""
+def test_accepted_head_is_parsed_as_by_h11(fields):
+    """Each accepted head parses equally with h11; what h11 rejects is rejected."""
     lines = [f"{name}: {value}".encode("latin-1") for name, value in fields]
     head = head_with(b"\r\n".join([b"X-First: 1", *lines]))
     other = h11.Connection(h11.SERVER)
@@ -166,7 +164,7 @@
     return reader, heads, b"".join(content), rest, complete
 
 
-def test_an_interim_answer_is_passed_over():
+def test_interim_response_is_skipped():
     data = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n"
     data += b"Content-Length: 2\r\n\r\nokHTTP"
     _, heads, content, rest, complete = read_answer(data)
@@ -174,21 +172,21 @@
     assert (content, rest, complete) == (b"ok", b"HTTP", True)
 
 
-def test_an_answer_without_a_length_ends_with_its_connection():
+def test_response_without_length_ends_with_the_connection():
     reader, heads, content, _, complete = read_answer(b"HTTP/1.1 200 OK\r\n\r\nab")
     assert isinstance(heads[0].body, EndlessBody)
     assert (content, complete, reader.close()) == (b"ab", False, True)
     assert not heads[0].keep_alive
 
 
-def test_an_answer_that_is_cut_is_not_whole():
+def test_truncated_response_is_not_complete():
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"
     reader, _, _, _, complete = read_answer(data)
     assert (complete, reader.close()) == (False, False)
     assert not read_answer(b"HTTP/1.1 200 OK\r\nContent")[0].close()
 
 
-def test_the_answer_to_head_has_no_body():
+def test_response_to_head_request_has_no_body():
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nrest"
     _, _, content, rest, complete = read_answer(data, "HEAD")
     assert (content, rest, complete) == (b"", b"rest", True)
@@ -208,14 +206,14 @@
         b"HTTP/1.1 200 OK\r\nX: " + b"a" * 70000,
     ],
 )
-def test_what_is_no_answer_is_refused(data):
+def test_invalid_response_is_rejected(data):
     with pytest.raises(MessageError):
         read_answer(data)
 
 
 @settings(max_examples=100, deadline=None)
 @given(body=st.binary(max_size=60), data=st.data())
-def test_an_answer_cut_anywhere_is_read_whole(body, data):
+def test_response_split_anywhere_is_read_completely(body, data):
     sent = b"HTTP/1.1 200 \r\nTransfer-Encoding: chunked\r\n\r\n"
     sent += chunk(body) + b"0\r\n\r\n"
     cuts = []
@@ -228,7 +226,7 @@
     assert heads[0].keep_alive
 
 
-def test_no_value_can_add_a_line():
+def test_line_end_in_a_header_value_is_rejected():
     with pytest.raises(MessageError):
         answer_head(200, [("X-A", "1\r\nX-B: 2")])
     with pytest.raises(MessageError):
--- a/tests/transport/test_probes.py
+++ b/tests/transport/test_probes.py
@@ -1,4 +1,4 @@
-"""What a look at an address tells."""
+"""Results of probing an address."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 HOST = "127.0.0.1"
 
 
-def test_a_listener_accepts():
+def test_listening_process_gives_accepted():
     with socket.create_server((HOST, 0)) as server:
         address = Address(HOST, server.getsockname()[1])
         assert asyncio.run(probe(address)) is Reach.ACCEPTED
 
 
-def test_an_address_without_a_process_refuses():
+def test_address_without_listening_process_gives_refused():
     with socket.create_server((HOST, 0)) as server:
         address = Address(HOST, server.getsockname()[1])
     assert asyncio.run(probe(address)) is Reach.REFUSED
 
 
 @pytest.mark.parametrize("error", [TimeoutError, OSError("no descriptor left")])
-def test_where_nothing_can_be_told_nothing_is(monkeypatch, error):
+def test_other_errors_give_no_verdict(monkeypatch, error):
     async def fail(address):
         raise error
 
