--- a/carawayfold/protocol/events.py
+++ b/carawayfold/protocol/events.py
@@ -1,26 +1,26 @@
-"""Events of a stream that carry growing numbers."""
+"""Events of a stream with increasing numbers."""
 
 from __future__ import annotations
 
 import re
 
-#: End of an event.
+#: Terminator of an event.
 EVENT_END = re.compile(rb"\r?\n\r?\n")
-#: The line of an event that holds its number.
-NUMBER = re.compile(rb"^id:[ ]?(\d+)\r?$", re.MULTILINE)
-#: Most bytes of an unfinished event.
+#: Line of an event that contains its number.
+EVENT_NUMBER = re.compile(rb"^id:[ ]?(\d+)\r?$", re.MULTILINE)
+#: Maximum size of an incomplete event, in bytes.
 EVENT_LIMIT = 1 << 20
 
 
 class NumberedEvents:
-    """Splits a stream into whole events and drops those the caller has already.
+    """Splits a stream into complete events and drops those the caller already has.
 
     Attributes
     ----------
     last : int or None
-        Number of the last whole event.
+        Number of the last complete event; None before the first.
     rest : bytes
-        Beginning of the next event.
+        Bytes of the incomplete next event.
     """
 
     def __init__(self, last: int | None) -> None:
@@ -28,12 +28,12 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and return the whole events among them.
+        """Process received bytes and return the complete events.
 
         Raises
         ------
         ValueError
-            If an event has no end.
+            If an incomplete event exceeds `EVENT_LIMIT`.
         """
         data = self.rest + data if self.rest else data
         passed: list[bytes] = []
@@ -49,7 +49,7 @@
         return b"".join(passed)
 
     def _is_new(self, event: bytes) -> bool:
-        found = NUMBER.search(event)
+        found = EVENT_NUMBER.search(event)
         if found is None:
             return True
         number = int(found.group(1))
--- a/carawayfold/protocol/exchanges.py
+++ b/carawayfold/protocol/exchanges.py
@@ -1,4 +1,4 @@
-"""What a forwarded request and its answer say, free of any wire's names."""
+"""Contents of forwarded requests and responses, independent of header names."""
 
 from __future__ import annotations
 
@@ -12,35 +12,36 @@
     from carawayfold.state.ids import OrganisationId, PartId, RequestId
     from carawayfold.transport.client import Head
 
+#: Header names and values, in order.
 HeaderList = list[tuple[str, str]]
 
 
 class Part(msgspec.Struct, frozen=True):
-    """A part of a prompt, which other requests may share."""
+    """A part of a prompt that other requests may share."""
 
     id: PartId
     tokens: int
 
 
 class Asked(msgspec.Struct, frozen=True):
-    """What a request's headers say.
+    """Contents of the headers of a request.
 
     Attributes
     ----------
     key : str
         API key, or an empty string.
     time_left : float or None
-        Seconds that the caller goes on waiting, if it says so.
+        Seconds until the caller stops waiting; None if not stated.
     resume_after : int or None
-        Last event that the caller of a resumed stream has.
+        Number of the last event received, if the caller resumes a stream.
     prompt : tuple of Part
         Parts of the prompt, in order.
     prompt_tokens, output_tokens : int
-        Length of the prompt, and the most that may be generated.
+        Number of tokens in the prompt, and the maximum number to generate.
     expected_output : int
-        The caller's own estimate of what will be generated, else the most.
+        Number of output tokens estimated by the caller, by default the maximum.
     forwarded : list of tuple of str
-        Headers that go to the endpoint as they came.
+        Headers that are forwarded to the endpoint unchanged.
     """
 
     id: RequestId
@@ -56,7 +57,7 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What an endpoint says of its load."""
+    """Load reported by an endpoint, in requests."""
 
     running: int
     waiting: int
@@ -64,24 +65,24 @@
 
 
 class Answered(msgspec.Struct, frozen=True):
-    """What the head of an endpoint's answer says.
+    """Contents of the head of a response from an endpoint.
 
     Attributes
     ----------
     not_run : bool
-        Whether the endpoint states that it did not run the request.
+        Whether the endpoint reports that it did not run the request.
     misdirected : bool
-        Whether another endpoint has the address now.
+        Whether the address now belongs to another endpoint.
     signed : bool
-        Whether it bears the endpoint's signature.
+        Whether it contains the signature of the endpoint.
     load : Load or None
-        The endpoint's load.
+        Load reported by the endpoint.
     forwarded : list of tuple of str
-        Headers that go to the caller as they came.
+        Headers that are forwarded to the caller unchanged.
     leaving : bool
-        Whether the endpoint says that it leaves.
+        Whether the endpoint reports that it is shutting down.
     rest : float
-        Seconds for which it wants nothing more from this router; 0 if it does not say.
+        Seconds for which this router must not send further requests; 0 if not stated.
     """
 
     status: int
@@ -95,10 +96,10 @@
 
 
 class Dialect(Protocol):
-    """How callers and endpoints spell requests and answers."""
+    """Header format of requests and responses of callers and endpoints."""
 
     def read_request(self, headers: list[tuple[bytes, bytes]]) -> Asked:
-        """Return what a request's headers say; raise `Refusal` if unusable."""
+        """Parse the headers of a request; raise `Refusal` if they are invalid."""
 
     def request_headers(
         self,
@@ -111,14 +112,15 @@
     ) -> HeaderList:
         """Return the headers of a request to `endpoint`.
 
-        With `donor`, the endpoint first copies what that one keeps of the prompt.
+        With `donor`, the endpoint first copies the prompt parts cached by the donor.
+        `time_left` is in seconds.
         """
 
     def answers(self, asked: Asked, head: Head) -> bool:
-        """Return whether an answer's head belongs to the request."""
+        """Return whether the head of a response belongs to the request."""
 
     def read_answer(self, head: Head) -> Answered:
-        """Return what an answer's head says."""
+        """Parse the head of a response."""
 
     def refusal_headers(self, asked: Asked | None, refusal: Refusal) -> HeaderList:
-        """Return the headers of an answer that refuses a request."""
+        """Return the headers of a response that rejects a request."""
--- a/carawayfold/protocol/exposition.py
+++ b/carawayfold/protocol/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format that scrapers read."""
+"""Metrics of a router in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
     from carawayfold.application import Application
     from carawayfold.state.metrics import OrganisationMetrics
 
+#: Exported percentiles.
 QUANTILES = (50.0, 95.0, 99.0)
 
 
 class Collector:
-    """Yields a router's metrics.
+    """Collects the metrics of a router.
 
     Parameters
     ----------
     application : Application
-        The router.
+        Router to collect from.
     """
 
     def __init__(self, application: Application) -> None:
         self.application = application
 
     def collect(self) -> Iterator[Metric]:
-        """Yield one family a measure."""
+        """Yield one metric family per quantity."""
         organisations = self.application.metrics.organisations
         yield from organisation_requests(organisations)
         yield from organisation_times(organisations)
@@ -61,7 +62,7 @@
 def organisation_requests(
     organisations: dict[str, OrganisationMetrics],
 ) -> Iterator[Metric]:
-    """Yield ended requests and service by organisation."""
+    """Yield completed requests and service received, by organisation."""
     requests = CounterMetricFamily(
         "carawayfold_requests", "Ended requests", labels=("organisation", "end")
     )
@@ -79,7 +80,7 @@
 def organisation_times(
     organisations: dict[str, OrganisationMetrics],
 ) -> Iterator[Metric]:
-    """Yield quantiles of waiting and of the first byte by organisation."""
+    """Yield quantiles of wait and time to first byte, by organisation."""
     for measure in ("wait", "first"):
         family = GaugeMetricFamily(
             f"carawayfold_{measure}_milliseconds",
--- a/carawayfold/protocol/forward_exposition.py
+++ b/carawayfold/protocol/forward_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics of a router that forwards, in the text format that scrapers read."""
+"""Metrics of a forwarding router in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
     from carawayfold.gateway import Gateway
 
 
-#: Content type of what `render` returns.
+#: Content type of the output of `render`.
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 
 
 class ForwardCollector:
-    """Yields the metrics of a router that forwards.
+    """Collects the metrics of a forwarding router.
 
     Parameters
     ----------
     gateway : Gateway
-        The router.
+        Router to collect from.
     """
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
 
     def collect(self) -> Iterator[Metric]:
-        """Yield one family a measure."""
+        """Yield one metric family per quantity."""
         gateway = self.gateway
         organisations = gateway.metrics.organisations.organisations
         yield from organisation_requests(organisations)
@@ -69,7 +69,7 @@
         yield from self._gauges()
 
     def _repeats(self) -> Iterator[Metric]:
-        """Yield repeats by service, and those that the budget refused."""
+        """Yield retries and retries rejected by the budget, by service."""
         metrics = self.gateway.metrics
         counters = {
             "repeats": ("Attempts at a further endpoint", metrics.repeats),
@@ -84,7 +84,7 @@
             yield family
 
     def _prediction_errors(self) -> Metric:
-        """Return how far predicted first tokens miss, where this router decides."""
+        """Return errors of predicted first-token waits for pools decided here."""
         errors = GaugeMetricFamily(
             "carawayfold_first_token_error_seconds",
             "Mean error of predicted waits for first tokens",
--- a/carawayfold/protocol/log_service.py
+++ b/carawayfold/protocol/log_service.py
@@ -1,4 +1,4 @@
-"""Clients of the platform: its append-only log and its instance list."""
+"""Clients for the append-only log and the instance list of the platform."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 
 logger = logbook.Logger(__name__)
 
-#: Milliseconds that a read of the log waits for new records.
+#: Milliseconds that a read of the log waits for new records by default.
 LOG_WAIT_MS = 1000
-#: Seconds after which an unanswered call of the platform is given up.
+#: Seconds after which a call of the platform without a response fails.
 TIMEOUT = 3.0
-#: Seconds before the log is asked again after it failed.
+#: Seconds between a failed read of the log and the next one.
 RETRY_WAIT = 0.3
-#: Most records asked for at once.
-READ_MOST = 1000
+#: Maximum number of records per read.
+MAX_RECORDS_PER_READ = 1000
 
 
 class PlatformError(Exception):
-    """The platform did not answer, or not as its protocol says.
+    """The platform did not respond, or its response was invalid.
 
-    After an append, the record may stand on the log all the same.
+    If an append fails with this error, the record may still have been written.
     """
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """One record of a stream."""
+    """One record of a stream and its offset."""
 
     offset: int
     data: bytes
 
 
 class LogPage(msgspec.Struct, frozen=True):
-    """Records read at once.
+    """Records returned by one read.
 
     Attributes
     ----------
     first : int
-        Offset of the oldest record that is still kept.
+        Offset of the oldest retained record.
     next : int
-        Offset that the next appended record will get.
+        Offset of the next record to be appended.
     records : list of LogRecord
-        Records from the asked offset on.
+        Records from the requested offset on.
     """
 
     first: int
@@ -61,13 +61,13 @@
 
 
 class Appended(msgspec.Struct, frozen=True):
-    """Answer to an append."""
+    """Response to an append."""
 
     offset: int
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """One entry of the platform's instance list; it lags behind reality.
+    """One entry of the instance list of the platform, which may be outdated.
 
     Attributes
     ----------
@@ -88,12 +88,12 @@
 
 
 class LogClient:
-    """Reads and appends one stream of the platform's log.
+    """Client for one stream of the platform log.
 
     Attributes
     ----------
     appends : int
-        Appends sent since the start.
+        Number of appends sent since the start.
     """
 
     def __init__(self, http: HttpClient, address: Address, stream: str) -> None:
@@ -108,21 +108,21 @@
         Raises
         ------
         PlatformError
-            If the log did not say so; the record may stand there all the same.
+            If the log did not confirm it; the record may still have been written.
         """
         self.appends += 1
         answer = await self._ask("POST", self.path, data, TIMEOUT)
         return _decode(answer, Appended).offset
 
     async def read(self, start: int, wait_ms: int = LOG_WAIT_MS) -> LogPage:
-        """Return records from offset `start` on, waiting up to `wait_ms`.
+        """Return records from offset `start` on, waiting up to `wait_ms` for one.
 
         Raises
         ------
         PlatformError
-            If the log did not answer.
+            If the log did not respond, or its response was invalid.
         """
-        path = f"{self.path}?from={start}&wait={wait_ms}&most={READ_MOST}"
+        path = f"{self.path}?from={start}&wait={wait_ms}&most={MAX_RECORDS_PER_READ}"
         answer = await self._ask("GET", path, b"", TIMEOUT + wait_ms / 1000)
         return _decode(answer, LogPage)
 
@@ -131,7 +131,7 @@
 
 
 async def follow(step: Callable[[], Awaitable[None]]) -> None:
-    """Call `step`, which reads a stream, for ever; an outage only delays it."""
+    """Call `step`, which reads a stream, in a loop; retry it after an outage."""
     while True:
         try:
             await step()
@@ -141,12 +141,12 @@
 
 
 async def list_instances(http: HttpClient, address: Address) -> list[Instance]:
-    """Return the platform's instance list.
+    """Return the instance list of the platform.
 
     Raises
     ------
     PlatformError
-        If the platform did not answer.
+        If the platform did not respond, or its response was invalid.
     """
     answer = await ask(http, address, "GET", "/instances", b"", TIMEOUT)
     return _decode(answer, list[Instance])
@@ -160,7 +160,13 @@
     body: bytes,
     timeout: float,
 ) -> bytes:
-    """Return the body of a successful answer of the platform."""
+    """Return the body of a successful response of the platform.
+
+    Raises
+    ------
+    PlatformError
+        If there was no response within `timeout` seconds, or its status is not 200.
+    """
     try:
         answer = await http.fetch(address, method, path, body, timeout)
     except ExchangeError as error:
--- a/carawayfold/protocol/names.py
+++ b/carawayfold/protocol/names.py
@@ -1,4 +1,4 @@
-"""Numbers in place of names on a link: each name is sent once."""
+"""Numbers that replace names on a link, so that each name is sent only once."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class NameTable:
-    """Names of one link, numbered separately in each direction.
+    """Name table of one link, with separate numbers for each direction.
 
     Attributes
     ----------
     sent : dict of str to int
-        Numbers that the peer has been told.
-    heard : dict of int to str
-        Names that the peer has told.
+        Numbers of names already sent to the peer.
+    received : dict of int to str
+        Names received from the peer, by number.
     """
 
     def __init__(self) -> None:
         self.sent: dict[str, int] = {}
-        self.heard: dict[int, str] = {}
+        self.received: dict[int, str] = {}
 
     def number(self, name: str, frame: peer_pb2.Frame) -> int:
-        """Return the number of `name`, defining it in `frame` at its first use."""
+        """Return the number of `name`; define it in `frame` at its first use."""
         number = self.sent.get(name)
         if number is None:
             number = self.sent[name] = len(self.sent)
@@ -32,16 +32,16 @@
         return number
 
     def learn(self, frame: peer_pb2.Frame) -> None:
-        """Take the names that `frame` defines."""
+        """Store the names defined in `frame`."""
         for item in frame.names:
-            self.heard[item.id] = item.name
+            self.received[item.id] = item.name
 
     def name(self, number: int) -> str:
-        """Return the name that the peer numbered so.
+        """Return the name to which the peer assigned `number`.
 
         Raises
         ------
         KeyError
-            If the peer never defined it.
+            If the peer has not defined the number.
         """
-        return self.heard[number]
+        return self.received[number]
--- a/carawayfold/protocol/objects.py
+++ b/carawayfold/protocol/objects.py
@@ -1,4 +1,4 @@
-"""Translating configuration objects to and from the operators' interface."""
+"""Conversion of configuration objects to and from admin API messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 
 @singledispatch
 def to_message(item: ConfigObject) -> admin_pb2.Object:
-    """Return the message for a configuration object."""
+    """Return the admin message for a configuration object.
+
+    Raises
+    ------
+    TypeError
+        If there is no message for the type of `item`.
+    """
     raise TypeError(f"no message for {item!r}")
 
 
@@ -72,7 +78,7 @@
     return KINDS[kind](**fields)
 
 
-#: Configuration object by the name of its message field.
+#: Class of configuration object by the name of its message field.
 KINDS: dict[str, type] = {
     "organisation": Organisation,
     "brand": Brand,
--- a/carawayfold/protocol/problem.py
+++ b/carawayfold/protocol/problem.py
@@ -1,4 +1,4 @@
-"""Problem documents (RFC 9457) for refusals."""
+"""Problem documents (RFC 9457) for rejected requests."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 if TYPE_CHECKING:
     from carawayfold.errors import Refusal
 
+#: Content type of problem documents.
 CONTENT_TYPE = "application/problem+json"
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
-    """Body of a refusal.
+    """Body of a response that rejects a request.
 
     Attributes
     ----------
     type : str
         ``urn:carawayfold:error:`` and the error kind.
     kind : str
-        Entry of the closed list of error kinds.
+        Error kind, one of a fixed list.
     ran : str
         Whether the request ran: ``no``, ``yes`` or ``unknown``.
     retry_after : int or None
-        Seconds after which coming back helps.
+        Seconds after which the caller may retry.
     """
 
     type: str
@@ -54,7 +55,7 @@
 
 
 def encode_http(refusal: Refusal) -> bytes:
-    """Return a whole HTTP answer for `refusal` that closes the connection."""
+    """Return a complete HTTP response for `refusal` that closes the connection."""
     body = encode(refusal)
     status = refusal.answer.status
     lines = [
--- a/carawayfold/protocol/quarantine_list.py
+++ b/carawayfold/protocol/quarantine_list.py
@@ -1,4 +1,4 @@
-"""What a router tells operators of the contents that it refuses or watches."""
+"""List of rejected and suspect contents, for operators."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 if TYPE_CHECKING:
     from carawayfold.state.quarantine import Quarantine
 
-#: Where a router lists them, and the beginning of where it lifts one, on the address
-#: for its peers.
+#: Path of the list, on the address for peers.
 LIST_PATH = "/quarantine"
+#: Prefix of the path that lifts the quarantine of one content, on the same address.
 LIFT_PATH = "/quarantine/lift/"
 
 
 class ListedContent(msgspec.Struct, frozen=True):
-    """One content.
+    """One rejected or suspect content.
 
     Attributes
     ----------
     since : float
         Seconds since the first crash that counts.
     held : float
-        Seconds for which it is still refused.
+        Seconds for which requests with it are still rejected.
     endpoints : tuple of str
-        Those that ended under it.
+        Endpoints that failed while they processed it.
     """
 
     content: str
@@ -37,7 +37,7 @@
 
 
 def encode(quarantine: Quarantine, now: float) -> bytes:
-    """Return the contents that are refused or watched as JSON, the newest first."""
+    """Return rejected and suspect contents as JSON, the newest first."""
     entries = sorted(
         (x for x in quarantine.entries.values() if not x.level.is_clear),
         key=lambda entry: -entry.stamp,
@@ -57,11 +57,11 @@
 
 
 def decode(data: bytes) -> list[ListedContent]:
-    """Return the contents that a router listed.
+    """Return the contents from the list of a router.
 
     Raises
     ------
     msgspec.MsgspecError
-        If `data` is no such list.
+        If `data` is not a valid list.
     """
     return msgspec.json.decode(data, type=list[ListedContent])
--- a/carawayfold/protocol/sources.py
+++ b/carawayfold/protocol/sources.py
@@ -1,6 +1,6 @@
-"""What the product asks of the platform that it runs on.
+"""Interfaces to the platform that the router runs on.
 
-`carawayfold.platform` implements these interfaces; tests put fakes in their place.
+`carawayfold.platform` implements them; tests replace them by fakes.
 """
 
 from __future__ import annotations
@@ -27,38 +27,38 @@
 
 
 class SourceError(Exception):
-    """A source did not answer, or not as its protocol says."""
+    """A source did not respond, or its response was invalid."""
 
 
 class NoAnswer(SourceError):
-    """A source said nothing in time; it may still do what was asked."""
+    """A source did not respond in time; the operation may still take effect."""
 
 
 class HistoryLost(SourceError):
-    """The records asked for are no longer kept; read the newest ones instead."""
+    """The requested records are no longer retained; read the newest ones instead."""
 
 
 class Registered(msgspec.Struct, frozen=True):
-    """An endpoint's entry was written, or is gone where `endpoint` is None."""
+    """An endpoint entry was written, or removed if `endpoint` is None."""
 
     name: EndpointName
     endpoint: Endpoint | None
 
 
 class Evacuation(msgspec.Struct, frozen=True):
-    """The operators' word that a data centre's endpoints get nothing, or are back."""
+    """An evacuation of a data centre; its endpoints get no requests while active."""
 
     data_centre: DataCentreId
     active: bool
 
 
 class PeerEntry(msgspec.Struct, frozen=True):
-    """A router's own entry: where its peers reach it.
+    """Directory entry of a router: the address on which its peers reach it.
 
     Attributes
     ----------
     processor : int
-        What its processor can do, in hundredths of a usual core.
+        Processor capacity, in hundredths of a standard core.
     """
 
     router: RouterId
@@ -69,18 +69,18 @@
 
 
 class QuarantineRecord(msgspec.Struct, frozen=True):
-    """A content that is refused, as it outlasts all routers.
+    """Stored record of a quarantined content, kept when all routers restart.
 
     Attributes
     ----------
     stamp : int
-        Unix milliseconds of the verdict.
+        Unix time of the verdict, in milliseconds.
     since : float
-        Unix seconds of the first crash that counts.
+        Unix time of the first crash that counts, in seconds.
     held_until : float
-        Unix seconds until which it is refused.
+        Unix time until which it is rejected, in seconds.
     endpoints : tuple of EndpointId
-        Those that ended under it.
+        Endpoints that failed while they processed it.
     """
 
     content: ContentId
@@ -92,14 +92,14 @@
 
 
 class Page(msgspec.Struct, Generic[T], frozen=True):
-    """What was read from a source.
+    """Records returned by one read of a source.
 
     Attributes
     ----------
     items : list
-        In the order in which they were written.
+        Records in the order in which they were written.
     next : Position
-        Where to read on.
+        Position from which to continue reading.
     """
 
     items: list[T]
@@ -107,7 +107,7 @@
 
 
 class Source(Protocol[T]):
-    """A sequence of records that grows; a router follows it."""
+    """An append-only sequence of records that a router follows."""
 
     async def newest(self) -> Page[T]:
         """Return the newest record of each key."""
@@ -117,34 +117,35 @@
 
 
 class VerdictStore(Protocol):
-    """Keeps verdicts on contents."""
+    """Stores quarantine verdicts on contents."""
 
     async def keep_verdict(self, record: QuarantineRecord) -> None:
-        """Write that a content is refused."""
+        """Store the record of a quarantined content."""
 
     async def drop_verdict(self, content: ContentId) -> None:
-        """Write that a content is refused no longer."""
+        """Record that a content is no longer quarantined."""
 
 
 class PeerDirectory(Source[PeerEntry | QuarantineRecord], VerdictStore, Protocol):
-    """What the routers keep for one another.
+    """Records shared between routers.
 
-    Entries of routers, which each router writes for itself, and contents that are
-    refused. One place holds both, so that one call tells a router that starts.
+    Contains the directory entries of routers, each written by the router itself, and
+    the quarantined contents. Both are in one place, so that a starting router can
+    read them with one call.
     """
 
     async def announce(self, entry: PeerEntry) -> None:
-        """Write this router's own entry."""
+        """Write the entry of this router."""
 
 
 class CacheSource(Protocol):
-    """Tells what model engines keep in their caches."""
+    """Reports the contents of the prompt caches of model engines."""
 
     async def kept(self, endpoint: Endpoint) -> list[Part]:
-        """Return the parts of prompts that an engine keeps.
+        """Return the prompt parts cached by an engine.
 
         Raises
         ------
         SourceError
-            If it does not say.
+            If the engine does not report them.
         """
--- a/carawayfold/protocol/sse.py
+++ b/carawayfold/protocol/sse.py
@@ -1,25 +1,27 @@
-"""Server-sent events of model streams: whole events only, counted."""
+"""Splitting and counting of server-sent events in model streams."""
 
 from __future__ import annotations
 
+#: Terminator of an event.
 EVENT_END = b"\n\n"
+#: Closing event of a stream, without its terminator.
 DONE = b"data: [DONE]"
-#: Most bytes of one event.
+#: Maximum size of an incomplete event, in bytes.
 EVENT_LIMIT = 1 << 20
 
 
 class EventScanner:
-    """Splits a stream into whole events.
+    """Splits a stream into complete events.
 
-    Only whole events are passed on, so that a broken stream can be resumed at the
-    next one without a gap or a repeat.
+    Only complete events are passed on, so that an interrupted stream can be resumed
+    at the next event without gaps or duplicates.
 
     Attributes
     ----------
     events : int
-        Whole events seen.
+        Number of complete events.
     finished : bool
-        Whether the closing event was seen.
+        Whether the closing event has been received.
     """
 
     def __init__(self) -> None:
@@ -28,12 +30,12 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes and return those that complete events.
+        """Process received bytes and return the complete events.
 
         Raises
         ------
         ValueError
-            If an event is too large, or something follows the closing event.
+            If an event exceeds `EVENT_LIMIT`, or data follows the closing event.
         """
         data = self.rest + data if self.rest else data
         if data.endswith(EVENT_END):
@@ -63,5 +65,5 @@
         self.finished = True
 
     def drop_rest(self) -> None:
-        """Forget the bytes of an unfinished event before a resume."""
+        """Discard the bytes of an incomplete event before the stream is resumed."""
         self.rest = b""
--- a/tests/protocol/test_callers.py
+++ b/tests/protocol/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers send."""
+"""Parsing of caller requests."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     return callers.parse("id", method, path, {**HEADERS, **(headers or {})}, body)
 
 
-def test_chat():
+def test_chat_request_is_parsed():
     request = parse(headers={"X-Priority": "urgent", "X-Request-Timeout": "2.5"})
     assert request.service == "survey"
     assert request.urgent
     assert request.timeout == 2.5
 
 
-def test_plain_service_keeps_the_rest_of_the_path():
+def test_plain_request_keeps_the_path_after_the_service():
     request = parse("/services/tile-desk/orders/7?x=1", body=b"{}")
     assert request.service == "tile-desk"
     assert request.path == "/orders/7?x=1"
@@ -44,7 +44,7 @@
         ({"Idempotency-Key": "x" * 256}, ErrorKind.MALFORMED_REQUEST),
     ],
 )
-def test_bad_headers(headers, kind):
+def test_invalid_headers_are_rejected(headers, kind):
     with pytest.raises(Refusal) as caught:
         parse(headers=headers)
     assert caught.value.kind is kind
@@ -54,7 +54,7 @@
     st.binary(max_size=200)
     | st.recursive(st.none(), st.lists).map(repr).map(str.encode)
 )
-def test_any_body_is_parsed_or_refused(body):
+def test_any_body_is_parsed_or_rejected(body):
     try:
         parse(body=body)
     except Refusal as refusal:
@@ -68,7 +68,7 @@
         st.text(),
     ),
 )
-def test_any_path_and_header_is_parsed_or_refused(path, headers):
+def test_any_path_and_header_is_parsed_or_rejected(path, headers):
     try:
         parse("/" + path, headers)
     except Refusal as refusal:
--- a/tests/protocol/test_datagrams.py
+++ b/tests/protocol/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of strangers and of broken senders: refused whole, or read whole."""
+"""Datagrams that are corrupted or of unknown origin are rejected or decoded."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @given(st.sampled_from(VALID), st.data())
-def test_a_datagram_that_was_damaged_on_its_way_is_refused_or_read(whole, data):
+def test_corrupted_datagram_is_rejected_or_decoded(whole, data):
     place = data.draw(st.integers(0, len(whole) - 1))
     byte = data.draw(st.integers(0, 255))
     cut = data.draw(st.integers(1, len(whole)))
@@ -48,18 +48,18 @@
 
 
 @given(st.binary(max_size=200))
-def test_bytes_of_a_stranger_are_refused_or_read(data):
+def test_arbitrary_bytes_are_rejected_or_decoded(data):
     try:
         decode(data)
     except msgspec.MsgspecError:
         return
 
 
-def test_a_name_that_is_no_text_is_refused():
+def test_name_that_is_not_utf8_is_rejected():
     with pytest.raises(msgspec.MsgspecError):
         decode(b"\x93\xa1\xff\x01\x90")
 
 
-def test_all_messages_come_back_as_they_were():
+def test_all_messages_round_trip():
     for message, data in zip(MESSAGES, VALID, strict=True):
         assert decode(data) == Datagram("router-1", 1, [message])
--- a/tests/protocol/test_events.py
+++ b/tests/protocol/test_events.py
@@ -13,7 +13,7 @@
 
 
 @given(st.lists(st.integers(1, 60), max_size=12))
-def test_any_cut_of_a_stream_passes_the_same_events(cuts):
+def test_stream_split_anywhere_gives_the_same_events(cuts):
     stream = b"".join(event(number) for number in range(1, 6))
     places = sorted({min(cut, len(stream)) for cut in cuts})
     events = NumberedEvents(None)
@@ -27,13 +27,13 @@
     assert events.rest == b""
 
 
-def test_what_the_caller_has_is_not_passed_again():
+def test_events_the_caller_already_has_are_dropped():
     events = NumberedEvents(2)
     passed = events.feed(event(1) + event(2) + event(3))
     assert passed == event(3)
 
 
-def test_an_unfinished_event_waits():
+def test_incomplete_event_is_buffered():
     events = NumberedEvents(None)
     assert events.feed(event(1) + b"id: 2\nda") == event(1)
     assert events.rest
--- a/tests/protocol/test_sse.py
+++ b/tests/protocol/test_sse.py
@@ -1,4 +1,4 @@
-"""Whole events of a stream."""
+"""Splitting of a stream into complete events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
-def test_any_cuts_give_the_same_events(cuts):
+def test_stream_split_anywhere_gives_the_same_events(cuts):
     scanner = EventScanner()
     edges = [0, *sorted(cuts), len(STREAM)]
     parts = [
@@ -26,7 +26,7 @@
 
 
 @given(st.integers(0, len(STREAM) - 1))
-def test_a_stream_that_ends_early_is_not_finished(end):
+def test_truncated_stream_is_not_finished(end):
     scanner = EventScanner()
     passed = scanner.feed(STREAM[:end])
     assert not scanner.finished
@@ -34,14 +34,14 @@
     assert passed == b"" or passed.endswith(b"\n\n")
 
 
-def test_nothing_may_follow_the_closing_event():
+def test_data_after_the_closing_event_is_an_error():
     scanner = EventScanner()
     scanner.feed(STREAM)
     with pytest.raises(ValueError, match="goes on"):
         scanner.feed(b"data: more\n\n")
 
 
-def test_closing_text_inside_an_event_does_not_close():
+def test_closing_text_inside_an_event_does_not_finish_the_stream():
     scanner = EventScanner()
     scanner.feed(b'data: {"text": "data: [DONE]"}\n\n')
     assert not scanner.finished
