--- a/carawayfold/transport/client.py
+++ b/carawayfold/transport/client.py
@@ -17,14 +17,14 @@
 import msgspec
 from circuits import BaseComponent
 
-from carawayfold.transport.messages import AnswerReader, MessageError, request_bytes
+from carawayfold.transport.messages import MessageError, ResponseReader, request_bytes
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from carawayfold.settings import Address
     from carawayfold.transport.loop import Root
-    from carawayfold.transport.messages import AnswerHead
+    from carawayfold.transport.messages import ResponseHead
 
 #: Maximum number of bytes per read from a socket.
 READ_SIZE = 65536
@@ -103,7 +103,7 @@
         Called with each part of the response body.
     done : asyncio.Future
         Resolved when the response is complete; fails with `ExchangeError`.
-    belongs : callable or None
+    is_own_response : callable or None
         Called with the head of a response; returns whether it belongs to this
         request. A response that does not, such as a second response to an earlier
         request, is skipped, and the next one on the connection is awaited.
@@ -127,9 +127,9 @@
 
     Attributes
     ----------
-    reader : AnswerReader or None
+    reader : ResponseReader or None
         Parser for the response of the current exchange.
-    heard : float
+    last_received : float
         Loop time at which data last arrived, in seconds.
     opened : float
         Loop time at which it was opened, in seconds.
@@ -141,7 +141,7 @@
 
     address: Address
     sock: socket.socket
-    reader: AnswerReader | None = None
+    reader: ResponseReader | None = None
     connected: bool = False
     exchange: Exchange | None = None
     outgoing: bytearray = msgspec.field(default_factory=bytearray)
@@ -192,7 +192,7 @@
         fresh : bool
             Whether to open a new connection. The remote side may have closed an
             idle one, which leaves it unknown whether a request sent on it ran.
-        belongs : callable, optional
+        is_own_response : callable, optional
             See `Exchange`.
         idle_most : float
             Maximum idle time in seconds of a reused connection.
@@ -209,7 +209,7 @@
         idle = None if fresh else self._take_idle(address, idle_most)
         connection = idle or self._connect(address)
         connection.exchange = exchange
-        connection.reader = AnswerReader(method)
+        connection.reader = ResponseReader(method)
         connection.heard = loop.time()
         connection.used += 1
         connection.outgoing += self._encode(connection, method, path, headers, body)
@@ -379,12 +379,12 @@
             self._end_of_stream(connection, exchange)
             return
 
-        def take_head(head: AnswerHead) -> None:
-            self._take_head(connection, exchange, _head(head))
+        def handle_head(head: ResponseHead) -> None:
+            self._handle_head(connection, exchange, _head(head))
 
         try:
             while data and connection.exchange is exchange:
-                data = self._feed(connection, exchange, data, take_head)
+                data = self._feed(connection, exchange, data, handle_head)
         except MessageError as error:
             self.fail(connection, str(error))
 
@@ -393,10 +393,10 @@
         connection: Connection,
         exchange: Exchange,
         data: bytes,
-        take_head: Callable[[AnswerHead], None],
+        handle_head: Callable[[ResponseHead], None],
     ) -> bytes:
         """Process one response or a part of it; return the bytes after it."""
-        pieces, rest, complete = connection.reader.feed(data, take_head)
+        pieces, rest, complete = connection.reader.feed(data, handle_head)
         if connection.exchange is not exchange:
             # The `on_head` callback cancelled the exchange.
             return b""
@@ -413,7 +413,7 @@
         else:
             self.fail(connection, "the connection was closed")
 
-    def _take_head(
+    def _handle_head(
         self, connection: Connection, exchange: Exchange, head: Head
     ) -> None:
         if exchange.belongs is not None and not exchange.belongs(head):
@@ -431,7 +431,7 @@
         if exchange.skipping:
             # The response to this request follows if the connection stays open.
             exchange.skipping = False
-            connection.reader = AnswerReader(exchange.method)
+            connection.reader = ResponseReader(exchange.method)
             if not reusable:
                 self.fail(connection, "an answer to another request closed it")
             return
@@ -439,13 +439,13 @@
         connection.exchange = None
         # Bytes after the response must not be read as the next response.
         if reusable and not rest:
-            self._keep(connection)
+            self._store_idle(connection)
         else:
             self._close(connection)
         if not exchange.done.done():
             exchange.done.set_result(None)
 
-    def _keep(self, connection: Connection) -> None:
+    def _store_idle(self, connection: Connection) -> None:
         idle = self.idle.setdefault(connection.address, [])
         if len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
@@ -487,7 +487,7 @@
     return IDLE_TIMEOUT
 
 
-def _head(head: AnswerHead) -> Head:
+def _head(head: ResponseHead) -> Head:
     fields = [
         (name.decode("ascii"), value.decode("latin-1")) for name, value in head.fields
     ]
--- a/carawayfold/transport/datagrams.py
+++ b/carawayfold/transport/datagrams.py
@@ -80,9 +80,9 @@
                 # The port of a peer is closed; missing heartbeats report it too.
                 logger.debug("datagram refused", extra={"reason": str(error)})
                 continue
-            self._take(data, Address(source[0], source[1]))
+            self._handle(data, Address(source[0], source[1]))
 
-    def _take(self, data: bytes, source: Address) -> None:
+    def _handle(self, data: bytes, source: Address) -> None:
         try:
             datagram = decode(data)
         except msgspec.MsgspecError as error:
--- a/carawayfold/transport/edge.py
+++ b/carawayfold/transport/edge.py
@@ -19,14 +19,14 @@
 
 from carawayfold.errors import ErrorKind, Refusal
 from carawayfold.transport.messages import (
-    BODYLESS,
-    FORBIDDEN,
+    BODYLESS_STATUSES,
+    FORBIDDEN_BYTES,
     HEAD_END,
     LAST_CHUNK,
     MessageError,
-    answer_head,
     chunk,
     read_request_head,
+    response_head,
 )
 from carawayfold.transport.sockets import CallbackServer
 
@@ -171,12 +171,12 @@
         if close or not self.keep_alive or connection.edge.closes_connections():
             self.keep_alive = False
             fields.append(("Connection", "close"))
-        connection.write(answer_head(status, fields))
+        connection.write(response_head(status, fields))
 
     def _frame(self, status: int, fields: list[tuple[str, str]]) -> None:
         """Select the framing of the response body."""
         lengths = [value for name, value in fields if name.lower() == "content-length"]
-        if self.method == b"HEAD" or status in BODYLESS:
+        if self.method == b"HEAD" or status in BODYLESS_STATUSES:
             self.left = 0
         elif lengths:
             self.left = int(lengths[0])
@@ -274,9 +274,9 @@
     def _advance(self) -> None:
         try:
             if self.stage is Stage.HEAD:
-                self._take_head()
+                self._read_head()
             if self.stage is Stage.BODY:
-                self._take_body()
+                self._read_body()
             if self.stage is Stage.SKIPPING:
                 self._skip_body()
         except Refusal as refusal:
@@ -284,7 +284,7 @@
         except MessageError as error:
             self.refuse(Refusal(ErrorKind.MALFORMED_REQUEST, str(error)))
 
-    def _take_head(self) -> None:
+    def _read_head(self) -> None:
         while self.pending.startswith(b"\r\n"):
             del self.pending[:2]
         end = self.pending.find(HEAD_END)
@@ -293,7 +293,7 @@
             raise Refusal(ErrorKind.HEADERS_TOO_LARGE)
         # The LF after a CR at the end may not have arrived yet.
         seen = self.pending[:end] if end >= 0 else self.pending.removesuffix(b"\r")
-        if FORBIDDEN.search(seen):
+        if FORBIDDEN_BYTES.search(seen):
             detail = "a control character or a bare line end in the head"
             raise Refusal(ErrorKind.MALFORMED_REQUEST, detail)
         if end < 0:
@@ -360,17 +360,17 @@
             if name == b"content-length" and int(value) > self.edge.limits.body_bytes:
                 raise Refusal(ErrorKind.REQUEST_TOO_LARGE)
 
-    def _take_body(self) -> None:
+    def _read_body(self) -> None:
         data = bytes(self.pending)
         self.pending.clear()
         pieces, rest, complete = self.head.body.feed(data)
         self.pending += rest
         for piece in pieces:
-            self._keep(piece)
+            self._append_body(piece)
         if complete:
             self._complete()
 
-    def _keep(self, data: bytes) -> None:
+    def _append_body(self, data: bytes) -> None:
         self.body.append(data)
         self.body_size += len(data)
         self.edge.bodies += len(data)
@@ -485,7 +485,7 @@
         #: Pattern of the request id header; its groups are name and value.
         self.id_pattern = header_pattern(id_header)
         #: `refuses` returns whether to reject the next request because this process is
-        #: overloaded; `on_shed` receives the id of each request rejected for that.
+        #: overloaded; `on_rejected` receives the id of each request rejected for that.
         self.refuses: Callable[[], bool] = lambda: False
         self.on_shed: Callable[[str], None] = lambda request: None
         self.connections: dict[socket, CallerConnection] = {}
--- a/carawayfold/transport/links.py
+++ b/carawayfold/transport/links.py
@@ -29,7 +29,7 @@
 SECRET_KEY = "x-fleet-secret"
 #: Maximum number of frames queued for a slow peer before the link is closed.
 MAX_SEND_BACKLOG = 1000
-#: gRPC options. The local subchannel pool keeps a new gRPC channel from sharing the
+#: gRPC options. The local subchannel pool prevents a new link from sharing the
 #: connection of one that no longer responds.
 CHANNEL_OPTIONS = [
     ("grpc.use_local_subchannel_pool", 1),
@@ -51,7 +51,7 @@
         Position up to which the rows of this router have been sent on the link.
     names : NameTable
         Numbers that replace names on this link.
-    greeted : bool
+    hello_received : bool
         Whether the first full frame of the peer has arrived.
     closed : bool
         Whether the link has been closed.
--- a/carawayfold/transport/messages.py
+++ b/carawayfold/transport/messages.py
@@ -16,12 +16,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+#: Header names and values, in order.
 Fields = list[tuple[bytes, bytes]]
 
+#: Terminator of a head.
 HEAD_END = b"\r\n\r\n"
+#: Last byte of a line.
 LINE_END = b"\n"
 #: Maximum size of a response head, in bytes; endpoints and the platform send 2 KB.
-ANSWER_HEAD_LIMIT = 65536
+RESPONSE_HEAD_LIMIT = 65536
 #: Maximum number of framing bytes between two parts of chunked content: chunk sizes
 #: or trailers.
 CHUNK_FRAME_LIMIT = 4096
@@ -32,11 +35,11 @@
 #: Accepted ``Content-Length`` values: digits only.
 LENGTH = re.compile(rb"[0-9]{1,18}")
 #: Bytes not allowed in a head: control characters, and line ends other than CR LF.
-FORBIDDEN = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]|(?<!\r)\n|\r(?!\n)")
+FORBIDDEN_BYTES = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]|(?<!\r)\n|\r(?!\n)")
 #: A header line that continues the one before it.
 FOLDED = re.compile(rb"\r\n[ \t]")
 #: Status codes of responses that never have a body.
-BODYLESS = frozenset({204, 304})
+BODYLESS_STATUSES = frozenset({204, 304})
 
 
 class MessageError(Exception):
@@ -158,6 +161,7 @@
         return [data] if data else [], b"", False
 
 
+#: Readers for the kinds of message body.
 Body = ChunkedBody | CountedBody | EndlessBody
 
 
@@ -187,7 +191,7 @@
     is_http_1_1: bool
 
 
-class AnswerHead(msgspec.Struct):
+class ResponseHead(msgspec.Struct):
     """Head of a response; see `RequestHead`."""
 
     status: int
@@ -297,7 +301,7 @@
     return int(value), False
 
 
-class AnswerReader(msgspec.Struct):
+class ResponseReader(msgspec.Struct):
     """Incremental reader for one response.
 
     Parameters
@@ -307,16 +311,16 @@
 
     Attributes
     ----------
-    head : AnswerHead or None
+    head : ResponseHead or None
         Head of the response; None until it has been read.
     """
 
     method: str
-    head: AnswerHead | None = None
+    head: ResponseHead | None = None
     buffered: bytes = b""
 
     def feed(
-        self, data: bytes, on_head: Callable[[AnswerHead], None]
+        self, data: bytes, on_head: Callable[[ResponseHead], None]
     ) -> tuple[list[bytes], bytes, bool]:
         """Process received bytes; call `on_head` before any content is returned.
 
@@ -332,7 +336,7 @@
         """
         if self.head is None:
             self.buffered += data
-            data = self._take_head()
+            data = self._read_head()
             if self.head is None:
                 return [], b"", False
             on_head(self.head)
@@ -342,7 +346,7 @@
         """Return whether the response is complete when the connection ends."""
         return self.head is not None and isinstance(self.head.body, EndlessBody)
 
-    def _take_head(self) -> bytes:
+    def _read_head(self) -> bytes:
         """Read the head, skipping interim responses; return the bytes after it."""
         while True:
             end = self.buffered.find(HEAD_END)
@@ -351,7 +355,7 @@
                 return b""
             head = self.buffered[: end + len(HEAD_END)]
             self.buffered = self.buffered[len(head) :]
-            found = _read_answer_head(head, self.method)
+            found = _read_response_head(head, self.method)
             if found is None:
                 continue
             self.head = found
@@ -361,16 +365,16 @@
 
     def _check_partial(self) -> None:
         """Reject incomplete data that cannot become a valid head."""
-        if len(self.buffered) > ANSWER_HEAD_LIMIT:
+        if len(self.buffered) > RESPONSE_HEAD_LIMIT:
             raise MessageError("the head of the answer is too large")
         start = b"HTTP/1."
         if not self.buffered.startswith(start[: len(self.buffered)]):
             raise MessageError("no status line")
 
 
-def _read_answer_head(head: bytes, method: str) -> AnswerHead | None:
+def _read_response_head(head: bytes, method: str) -> ResponseHead | None:
     """Parse the head of a response; return None for an interim response."""
-    if FORBIDDEN.search(head) or FOLDED.search(head):
+    if FORBIDDEN_BYTES.search(head) or FOLDED.search(head):
         raise MessageError("a control character, bare line end or folded line")
     collector = _Collector()
     parser = httptools.HttpResponseParser(collector)
@@ -385,7 +389,7 @@
         raise MessageError("another version")
     length, chunked = _framing(fields)
     body: Body
-    if method == "HEAD" or status in BODYLESS:
+    if method == "HEAD" or status in BODYLESS_STATUSES:
         body = CountedBody(0)
     elif chunked:
         body = ChunkedBody(parser, collector)
@@ -393,10 +397,10 @@
         body = CountedBody(length)
     else:
         body = EndlessBody()
-    keeps = parser.get_http_version() == "1.1"
-    keeps = keeps and b"close" not in _connection_options(fields)
-    keep_alive = keeps and not isinstance(body, EndlessBody)
-    return AnswerHead(status, fields, body, keep_alive)
+    persistent = parser.get_http_version() == "1.1"
+    persistent = persistent and b"close" not in _connection_options(fields)
+    keep_alive = persistent and not isinstance(body, EndlessBody)
+    return ResponseHead(status, fields, body, keep_alive)
 
 
 def request_bytes(
@@ -405,17 +409,17 @@
     """Return a complete request; `headers` include the framing of `body`."""
     lines = [f"{method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers]
-    return _join(lines) + body
+    return _encode_head(lines) + body
 
 
-def answer_head(status: int, headers: list[tuple[str, str]]) -> bytes:
+def response_head(status: int, headers: list[tuple[str, str]]) -> bytes:
     """Return the head of a response; `headers` include the framing of its body."""
     lines = [f"HTTP/1.1 {status} "]
     lines += [f"{name}: {value}" for name, value in headers]
-    return _join(lines)
+    return _encode_head(lines)
 
 
-def _join(lines: list[str]) -> bytes:
+def _encode_head(lines: list[str]) -> bytes:
     head = "\r\n".join(lines) + "\r\n\r\n"
     # A line end in a value would allow header injection.
     if head.count("\n") != len(lines) + 1 or head.count("\r") != len(lines) + 1:
--- a/carawayfold/transport/probes.py
+++ b/carawayfold/transport/probes.py
@@ -26,8 +26,8 @@
 async def probe(address: Address) -> Reach:
     """Open a connection to an address, close it, and return the result.
 
-    `Reach.REFUSED` means that the host responds and no process listens on the port.
-    A network partition or a frozen or slow process does not give this result.
+    `ProbeResult.REFUSED` means that the host responds and no process listens on the
+    port. A network partition or a frozen or slow process does not give this result.
     """
     try:
         async with asyncio.timeout(PROBE_TIMEOUT):
--- a/carawayfold/transport/server.py
+++ b/carawayfold/transport/server.py
@@ -137,7 +137,7 @@
         self.serve = serve
         self.refusal_bytes = refuse
         #: Callbacks by socket, called when the caller disconnects.
-        self.watchers: dict[socket, Callable[[], None]] = {}
+        self.disconnect_callbacks: dict[socket, Callable[[], None]] = {}
         self._display_banner = False
         bind = (settings.listen.host, settings.listen.port)
         self.server = DirectServer(bind, channel="web").register(self)
@@ -155,14 +155,14 @@
         return True
 
     def watch(self, req: Request, on_gone: Callable[[], None]) -> None:
-        """Call `on_gone` if the caller of `req` disconnects before the response."""
-        self.watchers[req.sock] = on_gone
+        """Call `on_disconnect` if the caller disconnects before the response."""
+        self.disconnect_callbacks[req.sock] = on_gone
 
     def gone(self, sock: socket) -> None:
         """Call the callback for `sock`, whose caller has disconnected."""
-        watcher = self.watchers.pop(sock, None)
-        if watcher is not None:
-            watcher()
+        callback = self.disconnect_callbacks.pop(sock, None)
+        if callback is not None:
+            callback()
 
     def refuse(self, sock: socket, refusal: Refusal) -> None:
         """Reject a request that could not be parsed, and close the connection."""
@@ -171,7 +171,7 @@
 
     def answer(self, res: Response, body: bytes) -> None:
         """Send a complete response."""
-        self.watchers.pop(res.request.sock, None)
+        self.disconnect_callbacks.pop(res.request.sock, None)
         res.body = body
         self.fire(response(res))
         self.root_component.wake()
@@ -195,13 +195,13 @@
 
     def end(self, res: Response) -> None:
         """Finish a streamed response."""
-        self.watchers.pop(res.request.sock, None)
+        self.disconnect_callbacks.pop(res.request.sock, None)
         self.server.write(res.request.sock, b"0\r\n\r\n")
         self._finish(res)
 
     def abort(self, res: Response) -> None:
-        """Close the connection without the last chunk, which marks truncation."""
-        self.watchers.pop(res.request.sock, None)
+        """Close the connection without a last chunk, so truncation is detected."""
+        self.disconnect_callbacks.pop(res.request.sock, None)
         res.close = True
         self._finish(res)
 
--- a/carawayfold/transport/sockets.py
+++ b/carawayfold/transport/sockets.py
@@ -139,7 +139,7 @@
     def on_readable(self, sock: socket) -> None:
         """Accept connections, or read from one."""
         if sock is self._sock:
-            self._accept_some()
+            self._accept_pending()
             return
         try:
             data = sock.recv(READ_SIZE)
@@ -160,7 +160,7 @@
         """Close a connection that was lost."""
         self._close(sock)
 
-    def _accept_some(self) -> None:
+    def _accept_pending(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _address = self._sock.accept()
@@ -169,9 +169,9 @@
                 if error.errno in (EMFILE, ENFILE, ENOMEM):
                     logger.warning("no connection taken", extra={"reason": str(error)})
                 return
-            self._take(sock)
+            self._add_connection(sock)
 
-    def _take(self, sock: socket) -> None:
+    def _add_connection(self, sock: socket) -> None:
         if len(self._clients) >= self.limit:
             sock.close()
             return
--- a/tests/transport/test_messages.py
+++ b/tests/transport/test_messages.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from carawayfold.transport.messages import (
-    AnswerReader,
     EndlessBody,
     MessageError,
-    answer_head,
+    ResponseReader,
     chunk,
     read_request_head,
     request_bytes,
+    response_head,
 )
 
 REFUSED = {
@@ -154,8 +154,8 @@
     assert found.fields == list(event.headers)
 
 
-def read_answer(data, method="GET", cuts=None):
-    reader = AnswerReader(method)
+def read_response(data, method="GET", cuts=None):
+    reader = ResponseReader(method)
     heads, content = [], []
     complete, rest = False, b""
     for part in cuts or [data]:
@@ -167,13 +167,13 @@
 def test_interim_response_is_skipped():
     data = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\n"
     data += b"Content-Length: 2\r\n\r\nokHTTP"
-    _, heads, content, rest, complete = read_answer(data)
+    _, heads, content, rest, complete = read_response(data)
     assert [head.status for head in heads] == [200]
     assert (content, rest, complete) == (b"ok", b"HTTP", True)
 
 
 def test_response_without_length_ends_with_the_connection():
-    reader, heads, content, _, complete = read_answer(b"HTTP/1.1 200 OK\r\n\r\nab")
+    reader, heads, content, _, complete = read_response(b"HTTP/1.1 200 OK\r\n\r\nab")
     assert isinstance(heads[0].body, EndlessBody)
     assert (content, complete, reader.close()) == (b"ab", False, True)
     assert not heads[0].keep_alive
@@ -181,14 +181,14 @@
 
 def test_truncated_response_is_not_complete():
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"
-    reader, _, _, _, complete = read_answer(data)
+    reader, _, _, _, complete = read_response(data)
     assert (complete, reader.close()) == (False, False)
-    assert not read_answer(b"HTTP/1.1 200 OK\r\nContent")[0].close()
+    assert not read_response(b"HTTP/1.1 200 OK\r\nContent")[0].close()
 
 
 def test_response_to_head_request_has_no_body():
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nrest"
-    _, _, content, rest, complete = read_answer(data, "HEAD")
+    _, _, content, rest, complete = read_response(data, "HEAD")
     assert (content, rest, complete) == (b"", b"rest", True)
 
 
@@ -208,7 +208,7 @@
 )
 def test_invalid_response_is_rejected(data):
     with pytest.raises(MessageError):
-        read_answer(data)
+        read_response(data)
 
 
 @settings(max_examples=100, deadline=None)
@@ -221,13 +221,13 @@
         cut = data.draw(st.integers(1, len(sent)))
         cuts.append(sent[:cut])
         sent = sent[cut:]
-    _, heads, content, rest, complete = read_answer(b"", cuts=cuts)
+    _, heads, content, rest, complete = read_response(b"", cuts=cuts)
     assert (len(heads), content, rest, complete) == (1, body, b"", True)
     assert heads[0].keep_alive
 
 
 def test_line_end_in_a_header_value_is_rejected():
     with pytest.raises(MessageError):
-        answer_head(200, [("X-A", "1\r\nX-B: 2")])
+        response_head(200, [("X-A", "1\r\nX-B: 2")])
     with pytest.raises(MessageError):
         request_bytes("GET", "/", [("X-A", "1\n2")], b"")
