--- a/benchmarks/deciding.py
+++ b/benchmarks/deciding.py
@@ -8,7 +8,10 @@
 
 import typer
 
-from carawayfold.coordination.scheduling.messages import offer_message, offer_of
+from carawayfold.coordination.scheduling.messages import (
+    offer_from_message,
+    offer_message,
+)
 from carawayfold.coordination.scheduling.offers import Offer
 from carawayfold.coordination.scheduling.scheduler import PoolPlan, Scheduler
 from carawayfold.protocol.datagrams import Datagram, decode, encode
@@ -92,7 +95,7 @@
     for offer in wanted[:count]:
         made.offer(offer, 0.0)
     more = iter(wanted[count:])
-    parse = timed(lambda: offer_of(decode(data).messages[0], "router-1", 0.0))
+    parse = timed(lambda: offer_from_message(decode(data).messages[0], "router-1", 0.0))
     note = timed(lambda: made.offer(next(more), 0.0))
     for offer in wanted[count:]:
         made.withdraw(offer.call)
--- a/benchmarks/emulation/run.py
+++ b/benchmarks/emulation/run.py
@@ -287,8 +287,8 @@
 
     def _keep_alive(self, now: float) -> None:
         for scheduler in self.schedulers:
-            for call in scheduler.refreshed:
-                scheduler.refreshed[call] = now
+            for call in scheduler.reported_at:
+                scheduler.reported_at[call] = now
 
     def _offer_arrivals(self, now: float) -> None:
         while self.arrivals and self.arrivals[0][0] <= now:
@@ -340,9 +340,9 @@
         self.fleet[decision.endpoint].send(run)
 
     def _copied(self, decision: Granted, request: Request) -> int:
-        if decision.donor is None:
+        if decision.copy_source is None:
             return 0
-        return self.fleet[decision.donor].prefixes.kept(request.prompt)
+        return self.fleet[decision.copy_source].prefixes.kept(request.prompt)
 
     def _refuse(self, name: str, retry_after: float, now: float) -> None:
         request = self.requests[name]
--- a/carawayfold/coordination/knowledge/notices.py
+++ b/carawayfold/coordination/knowledge/notices.py
@@ -90,7 +90,7 @@
         extra = {"endpoint": endpoint.id, "rest_s": answered.rest}
         logger.info("endpoint asks for rest", extra=extra)
 
-    async def keep_telling(self) -> None:
+    async def report_periodically(self) -> None:
         """Send checksums at regular intervals while any notice is known."""
         while True:
             await asyncio.sleep(DIGEST_INTERVAL)
--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from carawayfold.coordination.requests.forwarding import ForwardedCall, Forwarder
-    from carawayfold.coordination.scheduling.offers import Bar
+    from carawayfold.coordination.scheduling.offers import BlockReason
     from carawayfold.protocol.exchanges import Answered
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import CallId
@@ -56,7 +56,7 @@
     call: ForwardedCall
     endpoint: Endpoint
     call_id: CallId
-    donor: Endpoint | None = None
+    copy_source: Endpoint | None = None
 
 
 class Attempt:
@@ -92,7 +92,7 @@
         self.call = request.call
         self.endpoint = request.endpoint
         self.call_id = request.call_id
-        self.donor = request.donor
+        self.copy_source = request.copy_source
         self.loop = forwarder.loop
         self.connection: Connection | None = None
         self.answer_head: Answered | None = None
@@ -104,9 +104,9 @@
         self.exchange = None
         self.started = self.loop.time()
         self.first_event_delay: float | None = None
-        self.endpoint_lost = False
+        self.suspend_endpoint = False
         self.stopped = False
-        self.withdrawn: Bar | None = None
+        self.withdrawn: BlockReason | None = None
 
     @property
     def sent(self) -> bool:
@@ -124,11 +124,11 @@
                 return AttemptEnd.WITHDRAWN
             if error.phase is Phase.CONNECTING:
                 return AttemptEnd.UNREACHABLE
-            self.endpoint_lost = not self.stopped
+            self.suspend_endpoint = not self.stopped
             return self._exchange_failed()
         except TimeoutError:
             self.reason = "the endpoint is silent"
-            self.endpoint_lost = self.sent
+            self.suspend_endpoint = self.sent
             return AttemptEnd.SILENT if self.sent else AttemptEnd.UNREACHABLE
         return self._complete()
 
@@ -138,7 +138,7 @@
             self.stopped = True
             self.forwarder.http.fail(self.connection, "its content is refused")
 
-    def withdraw(self, bar: Bar) -> None:
+    def withdraw(self, bar: BlockReason) -> None:
         """Stop the attempt unless the endpoint may have received the request."""
         if not self.sent and not self.exchange.done.done():
             self.withdrawn = bar
@@ -154,7 +154,7 @@
             call.organisation,
             call.deadline - self.loop.time(),
             resume_after,
-            self.donor,
+            self.copy_source,
         )
         options = {} if call.route.repeatable else {"idle_most": MAX_IDLE_DURATION}
         self.connection = self.forwarder.http.start(
@@ -192,7 +192,7 @@
         """
         if self.exchange.done.done():
             return
-        if self.forwarder.desk.is_over(self.endpoint):
+        if self.forwarder.coordinator.is_superseded(self.endpoint):
             raise ExchangeError(self.exchange.phase, "the endpoint has started again")
         if not self.call.route.repeatable:
             return
@@ -249,7 +249,7 @@
         waited = self.loop.time() - self.started
         if self.first_event_delay is None:
             self.first_event_delay = waited
-        self.forwarder.desk.begun(self.call_id, waited)
+        self.forwarder.coordinator.begun(self.call_id, waited)
         if not self.call.attempts.answer_started:
             self.forwarder.begin(self.call, self.answer_head)
         self.call.incoming.send(whole)
@@ -278,7 +278,7 @@
         if answer_head.status >= MIN_ERROR_STATUS and self._may_retry_error():
             self.reason = f"status {answer_head.status}"
             return AttemptEnd.ERROR_ANSWER
-        self.forwarder.desk.begun(self.call_id, self.loop.time() - self.started)
+        self.forwarder.coordinator.begun(self.call_id, self.loop.time() - self.started)
         if self.call.attempts.answer_started:
             # The resumption of a stream failed: the caller has an incomplete answer.
             self.reason = f"status {answer_head.status} to a resumption"
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -17,11 +17,11 @@
     may_retry,
 )
 from carawayfold.coordination.scheduling.offers import (
-    Bar,
+    BlockReason,
     Granted,
     Offer,
     Outcome,
-    TurnedAway,
+    Rejected,
 )
 from carawayfold.errors import ErrorKind, Ran, Refusal
 from carawayfold.protocol import problem
@@ -37,7 +37,7 @@
     from carawayfold.coordination.containment.containment import Containment
     from carawayfold.coordination.containment.pulse import Pulse
     from carawayfold.coordination.knowledge.notices import Notices
-    from carawayfold.coordination.scheduling.desk import Desk
+    from carawayfold.coordination.scheduling.coordinator import SchedulingCoordinator
     from carawayfold.coordination.scheduling.offers import Basis
     from carawayfold.protocol.exchanges import Answered, Asked, Dialect
     from carawayfold.state.budget import RetryBudget
@@ -76,10 +76,10 @@
 }
 #: Log event for a grant that is returned unused, by its reason.
 BARRED_GRANT_EVENTS = {
-    Bar.LEAVING: "grant returned: endpoint is leaving",
-    Bar.EVACUATED: "grant returned: data centre of the endpoint is evacuated",
-    Bar.WARMING: "grant returned: endpoint is warming up",
-    Bar.RESTING: "grant returned: endpoint accepts no requests from this router",
+    BlockReason.LEAVING: "grant returned: endpoint is leaving",
+    BlockReason.EVACUATED: "grant returned: data centre of the endpoint is evacuated",
+    BlockReason.WARMING: "grant returned: endpoint is warming up",
+    BlockReason.RESTING: "grant returned: endpoint accepts no requests from this router",
 }
 
 
@@ -150,7 +150,7 @@
     status: int = 0
     first_byte_at: float = 0.0
     grant_wait: float = 0.0
-    donor: EndpointId | None = None
+    copy_source: EndpointId | None = None
     basis: Basis | None = None
     decider: RouterId | None = None
     cached_content: ContentId | None = None
@@ -203,7 +203,7 @@
 
     def __init__(
         self,
-        desk: Desk,
+        coordinator: SchedulingCoordinator,
         http: HttpClient,
         dialect: Dialect,
         budget: RetryBudget,
@@ -214,7 +214,7 @@
         draw: Callable[[], float],
         regions: Mapping[DataCentreId, RegionId],
     ) -> None:
-        self.desk = desk
+        self.coordinator = coordinator
         self.http = http
         self.dialect = dialect
         self.budget = budget
@@ -345,9 +345,11 @@
         if call.allowed is not None:
             self._check_regions(call)
         asked_at = self.loop.time()
-        decision = await self.desk.place_in_any(self._offer(call), call.service)
+        decision = await self.coordinator.place_with_fallback(
+            self._offer(call), call.service
+        )
         call.grant_wait = self.loop.time() - asked_at
-        if isinstance(decision, TurnedAway):
+        if isinstance(decision, Rejected):
             call.decider = decision.decider
             raise self._rejection_refusal(call, decision)
         call.basis = decision.basis
@@ -362,7 +364,7 @@
         Refusal
             ``endpoint-failed`` if the request may have run, else ``no-endpoint``.
         """
-        if self.desk.weights_for(call.service, call.allowed):
+        if self.coordinator.weights_for(call.service, call.allowed):
             return
         detail = "no endpoint in an allowed region"
         if call.attempts.may_have_run:
@@ -372,9 +374,9 @@
     def _offer(self, call: ForwardedCall) -> Offer:
         parsed = call.parsed
         return Offer(
-            call=self.desk.next_call(),
-            router=self.desk.fleet.own.router,
-            data_centre=self.desk.fleet.own.data_centre,
+            call=self.coordinator.next_call(),
+            router=self.coordinator.fleet.own.router,
+            data_centre=self.coordinator.fleet.own.data_centre,
             organisation=call.organisation,
             route=call.route.id,
             priority=call.priority,
@@ -385,11 +387,11 @@
             due=call.due,
             expires=call.deadline,
             avoid=frozenset(call.tried | call.skipped),
-            kept_at=self.desk.kept_at(parsed.prompt, call.allowed),
+            cached_at=self.coordinator.cached_at(parsed.prompt, call.allowed),
             allowed=call.allowed,
         )
 
-    def _rejection_refusal(self, call: ForwardedCall, decision: TurnedAway) -> Refusal:
+    def _rejection_refusal(self, call: ForwardedCall, decision: Rejected) -> Refusal:
         if call.attempts.may_have_run:
             return Refusal(ErrorKind.ENDPOINT_FAILED, decision.reason, Ran.UNKNOWN)
         return Refusal(
@@ -401,10 +403,10 @@
         if endpoint is None:
             return AttemptEnd.WITHDRAWN
         call.tried.add(granted.endpoint)
-        self.desk.rests.sent(granted.endpoint, self.loop.time())
-        call.donor = granted.donor
-        donor = self._check_donor(call, granted)
-        request = AttemptRequest(call, endpoint, granted.call, donor)
+        self.coordinator.rests.sent(granted.endpoint, self.loop.time())
+        call.copy_source = granted.copy_source
+        copy_source = self._check_donor(call, granted)
+        request = AttemptRequest(call, endpoint, granted.call, copy_source)
         attempt = call.attempt = Attempt(self, request)
         outcome = Outcome.CANCELLED
         try:
@@ -413,7 +415,7 @@
             outcome = ATTEMPT_OUTCOMES[end] if withdrawn is None else withdrawn.outcome
         finally:
             attempt.close()
-            self.desk.ended(granted.call, outcome)
+            self.coordinator.ended(granted.call, outcome)
             if outcome is Outcome.CANCELLED and attempt.sent:
                 # The deadline passed or the caller disconnected: it may have run.
                 call.attempts.may_have_run += 1
@@ -425,12 +427,16 @@
 
     def _check_granted(self, call: ForwardedCall, granted: Granted) -> Endpoint | None:
         """Return the granted endpoint, or None after returning an unusable grant."""
-        endpoint = self.desk.endpoints.get(granted.endpoint)
-        bar = self.desk.find_bar(endpoint, granted) if endpoint is not None else None
+        endpoint = self.coordinator.endpoints.get(granted.endpoint)
+        bar = (
+            self.coordinator.find_block_reason(endpoint, granted)
+            if endpoint is not None
+            else None
+        )
         allowed = endpoint is not None and self._is_allowed(call, endpoint)
         if allowed and bar is None:
             return endpoint
-        if bar is not Bar.RESTING:
+        if bar is not BlockReason.RESTING:
             # A resting endpoint may be granted again: the next offer states when its
             # rest ends.
             call.skipped.add(granted.endpoint)
@@ -438,7 +444,7 @@
         if bar is not None:
             outcome = bar.outcome
             self._log_barred(call, granted, endpoint, bar)
-        self.desk.ended(granted.call, outcome)
+        self.coordinator.ended(granted.call, outcome)
         return None
 
     def _is_allowed(self, call: ForwardedCall, endpoint: Endpoint) -> bool:
@@ -446,10 +452,14 @@
 
     def _check_donor(self, call: ForwardedCall, granted: Granted) -> Endpoint | None:
         """Return the endpoint to copy cached memory from, None if it is not usable."""
-        donor = self.desk.endpoints.get(granted.donor) if granted.donor else None
-        if donor is None or self.desk.gets_nothing(donor):
+        copy_source = (
+            self.coordinator.endpoints.get(granted.copy_source)
+            if granted.copy_source
+            else None
+        )
+        if copy_source is None or self.coordinator.is_excluded(copy_source):
             return None
-        return donor if self._is_allowed(call, donor) else None
+        return copy_source if self._is_allowed(call, copy_source) else None
 
     def withdraw_barred(self) -> None:
         """Withdraw unsent attempts at endpoints that accept no more requests."""
@@ -457,14 +467,14 @@
             attempt = call.attempt
             if attempt is None or attempt.sent:
                 continue
-            endpoint = self.desk.endpoints.get(attempt.endpoint.id)
+            endpoint = self.coordinator.endpoints.get(attempt.endpoint.id)
             if endpoint is None:
                 continue
-            if self.desk.gets_nothing(endpoint):
+            if self.coordinator.is_excluded(endpoint):
                 call.skipped.add(endpoint.id)
-                attempt.withdraw(Bar.LEAVING)
-            elif self.desk.rests.lasts(endpoint.id, self.loop.time()):
-                attempt.withdraw(Bar.RESTING)
+                attempt.withdraw(BlockReason.LEAVING)
+            elif self.coordinator.rests.lasts(endpoint.id, self.loop.time()):
+                attempt.withdraw(BlockReason.RESTING)
 
     def _check_retry(self, call: ForwardedCall, end: AttemptEnd) -> None:
         """Raise the final refusal unless a further attempt is allowed."""
@@ -479,7 +489,7 @@
 
     def _take_retry(self, call: ForwardedCall) -> bool:
         """Take one retry from this router's share of the budget, if any is left."""
-        routers = self.desk.fleet.counted
+        routers = self.coordinator.fleet.counted
         now = self.loop.time()
         window = self.budget.window(call.service, routers, now)
         taken = self.budget.take(call.service, routers, now)
@@ -522,7 +532,7 @@
         try:
             self._refuse_harmful(call)
         except Refusal:
-            self.desk.ended(granted.call, Outcome.CANCELLED)
+            self.coordinator.ended(granted.call, Outcome.CANCELLED)
             raise
 
     def _report_endpoint_loss(
@@ -538,7 +548,7 @@
             if not self.pulse.is_silent(endpoint.id, attempt.started, now):
                 return
             at = max(attempt.started, self.pulse.heard.get(endpoint.id, 0.0))
-        elif not attempt.endpoint_lost:
+        elif not attempt.suspend_endpoint:
             return
         begun = attempt.first_event_delay is not None
         loss = Loss(
@@ -616,12 +626,16 @@
     # Logs
 
     def _log_barred(
-        self, call: ForwardedCall, granted: Granted, endpoint: Endpoint, bar: Bar
+        self,
+        call: ForwardedCall,
+        granted: Granted,
+        endpoint: Endpoint,
+        bar: BlockReason,
     ) -> None:
         """Log and count a grant made on less recent knowledge than this router has."""
         self.metrics.barred_grants[bar.value] += 1
-        since = self.desk.leaving_since.get(endpoint.name, self.loop.time())
-        known = self.desk.basis()
+        since = self.coordinator.leaving_since.get(endpoint.name, self.loop.time())
+        known = self.coordinator.basis()
         logger.info(
             BARRED_GRANT_EVENTS[bar],
             extra={
@@ -678,7 +692,7 @@
                 "route": call.route.id,
                 "organisation": call.organisation,
                 "endpoints": sorted(call.tried),
-                "donor": call.donor or "",
+                "donor": call.copy_source or "",
                 "decider": call.decider or "",
                 "offset": offset_of(basis.offset) if basis is not None else 0,
                 "age_ms": round(basis.age * 1000, 1) if basis is not None else None,
--- a/carawayfold/coordination/scheduling/caches.py
+++ b/carawayfold/coordination/scheduling/caches.py
@@ -17,7 +17,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
-    from carawayfold.coordination.scheduling.desk import Desk, PoolState
+    from carawayfold.coordination.scheduling.coordinator import (
+        PoolState,
+        SchedulingCoordinator,
+    )
     from carawayfold.protocol.sources import CacheSource
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import EndpointId, PoolId
@@ -45,11 +48,11 @@
     def __init__(
         self,
         source: CacheSource,
-        desk: Desk,
+        coordinator: SchedulingCoordinator,
         spawn: Callable[[Coroutine[None, None, None]], None],
     ) -> None:
         self.source = source
-        self.desk = desk
+        self.coordinator = coordinator
         self.spawn = spawn
         self.loop = asyncio.get_running_loop()
         #: Engines of each pool this router leads that were queried since it became
@@ -57,13 +60,13 @@
         self.queried: dict[PoolId, set[EndpointId]] = {}
         self.queried_at: dict[EndpointId, float] = {}
 
-    def look(self) -> None:
+    def query_new_engines(self) -> None:
         """Query the engines of pools that this router has become leader of."""
-        pools = self.desk.pools
+        pools = self.coordinator.pools
         self.queried = {
             pool: self.queried.get(pool, set())
             for pool in pools
-            if self.desk.decides_for(pool)
+            if self.coordinator.decides_for(pool)
         }
         for pool, queried in self.queried.items():
             self._query_pool(pools[pool], queried)
@@ -73,7 +76,7 @@
             return
         now = self.loop.time()
         for endpoint, load in pool.scheduler.loads.items():
-            if endpoint in queried or self.desk.rests.lasts(endpoint, now):
+            if endpoint in queried or self.coordinator.rests.lasts(endpoint, now):
                 continue
             queried.add(endpoint)
             if (
--- a/carawayfold/coordination/scheduling/desk.py
+++ b/carawayfold/coordination/scheduling/desk.py
@@ -19,46 +19,46 @@
 import logbook
 import msgspec
 
+from carawayfold.coordination.scheduling.decision_statistics import SchedulingStatistics
 from carawayfold.coordination.scheduling.division import (
     PoolAssignment,
-    choose,
-    choose_further,
+    choose_fallback_pool,
+    choose_pool,
 )
 from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
 from carawayfold.coordination.scheduling.held_back import AdmissionControl
 from carawayfold.coordination.scheduling.messages import (
     decision_message,
     grant_from_message,
+    offer_from_message,
     offer_message,
-    offer_of,
     rejection_from_message,
 )
 from carawayfold.coordination.scheduling.offers import (
     UNKNOWN_POOL,
-    Bar,
     Basis,
+    BlockReason,
     Granted,
     Offer,
     Outcome,
-    TurnedAway,
+    Rejected,
 )
 from carawayfold.coordination.scheduling.scheduler import (
     DEFAULT_PREFILL_RATE,
     PoolPlan,
     Scheduler,
 )
-from carawayfold.coordination.scheduling.tallies import SchedulingStatistics
 from carawayfold.coordination.scheduling.tickets import (
     PendingRequest,
     PlacedRequest,
     PoolState,
 )
 from carawayfold.protocol.datagrams import (
-    EndedMessage,
+    ActiveRequestReport,
+    ActiveRequestsMessage,
+    AttemptEndedMessage,
     FirstByteMessage,
     GrantMessage,
-    Held,
-    HoldingMessage,
     OfferMessage,
     QueuedMessage,
     RejectMessage,
@@ -105,7 +105,7 @@
 MAX_UNANSWERED_REFRESHES = 1
 MAX_UNANSWERED_REFRESHES_LATE = 3
 #: Seconds between reports of this router's requests in flight.
-HOLDING_INTERVAL = 0.25
+ACTIVE_REPORT_INTERVAL = 0.25
 #: Maximum requests in one report, so that it fits a datagram.
 MAX_REQUESTS_PER_REPORT = 20
 #: Decisions remembered to answer repeated offers.
@@ -126,7 +126,7 @@
 #: Maximum number of other pools to which a request is offered if its own pool can't
 #: serve it in time. Without them, an organisation whose requests share a prefix would
 #: get its share of a single pool only, whatever the capacity of the others.
-FURTHER_POOLS = 1
+MAX_FALLBACK_POOLS = 1
 #: Retry delay in seconds of requests for a pool that its leader doesn't have. Both
 #: routers have read the same registrations by then.
 UNKNOWN_POOL_RETRY_AFTER = 1.0
@@ -134,7 +134,7 @@
 MAX_REMEMBERED_PREFIXES = 4000
 
 
-class Desk:
+class SchedulingCoordinator:
     """Offers this router's requests, and decides on requests of the pools it leads.
 
     Parameters
@@ -174,7 +174,7 @@
         self.last_call_number = 0
         #: Loop time of the last log line on each router that doesn't answer.
         self.unanswered_logged_at: dict[RouterId, float] = {}
-        self.tallies = SchedulingStatistics()
+        self.decision_statistics = SchedulingStatistics()
         self.admission = AdmissionControl()
         #: Loop time from which the next round of decisions may begin, for any pool.
         self.next_round = 0.0
@@ -262,7 +262,7 @@
                 self._withdraw(pending)
                 pending.answered.set_result(_unknown_pool_rejection(pending.offer.call))
 
-    def is_over(self, endpoint: Endpoint) -> bool:
+    def is_superseded(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint has restarted since this incarnation."""
         newest = self.newest.get(endpoint.name)
         return newest is not None and newest.incarnation > endpoint.incarnation
@@ -271,25 +271,27 @@
         """Return whether an endpoint is in an evacuated data centre."""
         return endpoint.data_centre in self.evacuated
 
-    def gets_nothing(self, endpoint: Endpoint) -> bool:
+    def is_excluded(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint leaves or its data centre is evacuated."""
         return endpoint.leaving or self.is_evacuated(endpoint)
 
-    def find_bar(self, endpoint: Endpoint, granted: Granted) -> Bar | None:
+    def find_block_reason(
+        self, endpoint: Endpoint, granted: Granted
+    ) -> BlockReason | None:
         """Return why a request must not be sent to a granted endpoint, None if it may.
 
         The router that decided may be partitioned from the store, so each router also
         checks its own state before it sends.
         """
         if endpoint.leaving:
-            return Bar.LEAVING
+            return BlockReason.LEAVING
         if self.is_evacuated(endpoint):
-            return Bar.EVACUATED
+            return BlockReason.EVACUATED
         if self.rests.opens_at(endpoint.id, self.loop.time()):
-            return Bar.RESTING
+            return BlockReason.RESTING
         decider_knows = granted.basis.offset >= self.basis().offset
         if endpoint.is_warming(self.loop.time()) and not decider_knows:
-            return Bar.WARMING
+            return BlockReason.WARMING
         return None
 
     def rests_in(self, pool: PoolId) -> dict[EndpointId, float]:
@@ -359,31 +361,31 @@
             return PoolId(f"{service}/0")
         if len(weights) == 1:
             return next(iter(weights))
-        return choose(
+        return choose_pool(
             weights, prompt[-2].id if len(prompt) > 1 else str(self.last_call_number)
         )
 
     # Requests of this router
 
-    async def place_in_any(self, offer: Offer, service: ServiceId) -> Decision:
+    async def place_with_fallback(self, offer: Offer, service: ServiceId) -> Decision:
         """Return the decision of the pool of a request's prefix, or of a fallback pool.
 
         Cancelling the coroutine withdraws the request.
         """
         pool = self.pool_for(service, offer.prompt, offer.allowed)
         tried = [pool]
-        rejections: list[TurnedAway] = []
+        rejections: list[Rejected] = []
         while True:
             decision = self._throttle(offer, pool) or await self.place(offer, pool)
             if isinstance(decision, Granted):
                 return decision
             rejections.append(decision)
             weights = self.weights_for(service, offer.allowed)
-            fallback = choose_further(weights, tried, offer.call)
+            fallback = choose_fallback_pool(weights, tried, offer.call)
             # The leader may still remember its decision under the old identifier.
-            kept_at = decision.kept_at or offer.kept_at
-            offer = replace(offer, call=self.next_call(), kept_at=kept_at)
-            if fallback is not None and len(tried) <= FURTHER_POOLS:
+            cached_at = decision.cached_at or offer.cached_at
+            offer = replace(offer, call=self.next_call(), cached_at=cached_at)
+            if fallback is not None and len(tried) <= MAX_FALLBACK_POOLS:
                 pool = fallback
                 tried.append(pool)
             elif decision.reason == UNKNOWN_POOL and pool in weights:
@@ -391,11 +393,11 @@
             else:
                 return min(rejections, key=lambda item: item.retry_after)
 
-    def _throttle(self, offer: Offer, pool: PoolId) -> TurnedAway | None:
+    def _throttle(self, offer: Offer, pool: PoolId) -> Rejected | None:
         """Return the rejection of a request that may not be offered to a pool."""
         rejection = self.admission.reject(offer, pool, self.loop.time())
         if rejection is not None:
-            self.tallies.of(pool).throttled += 1
+            self.decision_statistics.of(pool).throttled += 1
         return rejection
 
     async def place(
@@ -498,7 +500,7 @@
         pool_state = self.pools.get(pending.pool)
         if pool_state is None:
             reason = "the service has no endpoints"
-            pending.answered.set_result(TurnedAway(pending.offer.call, reason, 1.0))
+            pending.answered.set_result(Rejected(pending.offer.call, reason, 1.0))
             return
         pending.local = True
         pool_state.scheduler.offer(pending.offer, self.loop.time())
@@ -537,7 +539,7 @@
             pending.pool, known or active, decision.endpoint, offer.prompt
         )
 
-    def kept_at(
+    def cached_at(
         self,
         prompt: tuple[Part, ...],
         allowed: Collection[DataCentreId] | None = None,
@@ -548,7 +550,7 @@
         """
         found = self.sent_prefixes.get(prompt[-2].id) if len(prompt) > 1 else None
         endpoint = self.endpoints.get(found) if found is not None else None
-        if endpoint is None or self.gets_nothing(endpoint):
+        if endpoint is None or self.is_excluded(endpoint):
             return None
         return found if allowed is None or endpoint.data_centre in allowed else None
 
@@ -588,15 +590,17 @@
             self._schedule_decision(pool_state)
         target = self.fleet.responsible(placed.pool)
         if target != self.fleet.own.router:
-            self.fleet.send(target, EndedMessage(placed.pool, call, outcome.value))
+            self.fleet.send(
+                target, AttemptEndedMessage(placed.pool, call, outcome.value)
+            )
 
-    async def keep_telling(self) -> None:
+    async def report_periodically(self) -> None:
         """Report this router's requests in flight periodically, until cancelled."""
         while True:
-            await asyncio.sleep(HOLDING_INTERVAL)
-            self.look_around()
+            await asyncio.sleep(ACTIVE_REPORT_INTERVAL)
+            self.run_periodic_tasks()
 
-    def look_around(self) -> None:
+    def run_periodic_tasks(self) -> None:
         """Report requests in flight, expire stale state and log statistics."""
         self.report_active()
         now = self.loop.time()
@@ -604,22 +608,22 @@
             pool_state.scheduler.expire(now)
             self._decide(pool_state)
         self.admission.expire(now)
-        if self.tallies.is_due():
+        if self.decision_statistics.is_due():
             accounts = {
                 pool_state.id: pool_state.scheduler.usage
                 for pool_state in self.pools.values()
             }
             leading = {pool for pool in accounts if self.decides_for(pool)}
-            self.tallies.write(accounts, leading)
+            self.decision_statistics.write(accounts, leading)
 
     def report_active(self) -> None:
         """Report this router's requests in flight to the scheduler of each pool."""
         now = self.loop.time()
-        by_pool: dict[PoolId, list[Held]] = {}
+        by_pool: dict[PoolId, list[ActiveRequestReport]] = {}
         for call, placed in self.placed.items():
-            placed.active.refreshed = now
+            placed.active.reported_at = now
             active = placed.active
-            held = Held(
+            held = ActiveRequestReport(
                 call,
                 placed.endpoint,
                 active.prefill_tokens,
@@ -634,7 +638,7 @@
                 continue
             for start in range(0, len(held), MAX_REQUESTS_PER_REPORT):
                 batch = held[start : start + MAX_REQUESTS_PER_REPORT]
-                self.fleet.send(target, HoldingMessage(pool, batch))
+                self.fleet.send(target, ActiveRequestsMessage(pool, batch))
 
     def fleet_changed(self) -> None:
         """Offer pending requests again, since another router may be responsible now."""
@@ -665,7 +669,7 @@
     def _decide(self, pool_state: PoolState) -> None:
         now = self.loop.time()
         if pool_state.decision_timer is not None:
-            statistics = self.tallies.of(pool_state.id)
+            statistics = self.decision_statistics.of(pool_state.id)
             late = now - pool_state.decision_timer.when()
             statistics.max_delay = max(statistics.max_delay, late)
             if late >= LATE_ROUND_DELAY:
@@ -703,14 +707,14 @@
     def _record_round(
         self, pool: PoolId, decisions: list[Decision], leads: bool, begun: float
     ) -> None:
-        statistics = self.tallies.of(pool)
+        statistics = self.decision_statistics.of(pool)
         statistics.rounds += 1
         statistics.time_spent += self.loop.time() - begun
         granted = sum(isinstance(item, Granted) for item in decisions)
         statistics.granted += granted
         statistics.rejected += len(decisions) - granted
         if not leads:
-            self.tallies.alone += granted
+            self.decision_statistics.alone += granted
 
     def _deliver(self, decision: Decision) -> None:
         self.decided[decision.call] = decision
@@ -728,12 +732,12 @@
 
     def _with_basis(self, decision: Decision) -> Decision:
         """Return a decision of this router with the state it was made on."""
-        if isinstance(decision, TurnedAway):
+        if isinstance(decision, Rejected):
             decider = self.fleet.own.router
             return msgspec.structs.replace(decision, decider=decider)
         return msgspec.structs.replace(decision, basis=self.basis())
 
-    def endpoint_lost(self, endpoint: EndpointId) -> None:
+    def suspend_endpoint(self, endpoint: EndpointId) -> None:
         """Suspend an endpoint that has failed, whichever router detected it."""
         now = self.loop.time()
         for pool_state in self.pools.values():
@@ -764,12 +768,12 @@
         if not self.decides_for(message.pool):
             self.fleet.doubt(self.fleet.leader(message.pool))
         known = message.call in pool_state.scheduler.waiting
-        statistics = self.tallies.of(message.pool)
+        statistics = self.decision_statistics.of(message.pool)
         if known:
             statistics.repeated += 1
         else:
             statistics.offers += 1
-        pool_state.scheduler.offer(offer_of(message, sender, now), now)
+        pool_state.scheduler.offer(offer_from_message(message, sender, now), now)
         may_decide = not known and now >= self.next_round
         if may_decide and pool_state.scheduler.has_room(now):
             self._decide(pool_state)
@@ -783,7 +787,7 @@
         Routers that know different endpoints assign them to different pools. A router
         that didn't answer would be considered failed.
         """
-        self.tallies.unknown += 1
+        self.decision_statistics.unknown += 1
         rejection = _unknown_pool_rejection(message.call)
         self.fleet.send(sender, decision_message(rejection, self.basis()))
 
@@ -791,7 +795,7 @@
     def _(self, message: WithdrawMessage, sender: RouterId) -> None:
         pool_state = self.pools.get(message.pool)
         if pool_state is not None:
-            self.tallies.of(message.pool).withdrawn += 1
+            self.decision_statistics.of(message.pool).withdrawn += 1
             pool_state.scheduler.withdraw(message.call)
             pool_state.scheduler.ended(
                 message.call, Outcome.CANCELLED, self.loop.time()
@@ -838,7 +842,7 @@
     ) -> None:
         """Resolve a pending request, and update the admission of its organisation."""
         pending.answered.set_result(decision)
-        if isinstance(decision, TurnedAway) and decision.reason == UNKNOWN_POOL:
+        if isinstance(decision, Rejected) and decision.reason == UNKNOWN_POOL:
             return
         if decider == self.fleet.leader(pending.pool):
             now = self.loop.time()
@@ -854,7 +858,7 @@
             self._schedule_decision(pool_state)
 
     @_take.register
-    def _(self, message: EndedMessage, sender: RouterId) -> None:
+    def _(self, message: AttemptEndedMessage, sender: RouterId) -> None:
         pool_state = self.pools.get(message.pool)
         if pool_state is not None:
             outcome = Outcome(message.outcome)
@@ -862,10 +866,12 @@
             self._schedule_decision(pool_state)
 
     @_take.register
-    def _(self, message: HoldingMessage, sender: RouterId) -> None:
+    def _(self, message: ActiveRequestsMessage, sender: RouterId) -> None:
         self._record_active(sender, message.pool, message.held)
 
-    def _record_active(self, router: RouterId, pool: PoolId, held: list[Held]) -> None:
+    def _record_active(
+        self, router: RouterId, pool: PoolId, held: list[ActiveRequestReport]
+    ) -> None:
         pool_state = self.pools.get(pool)
         if pool_state is None:
             return
@@ -878,6 +884,6 @@
             pool_state.scheduler.record_active(item.endpoint, active)
 
 
-def _unknown_pool_rejection(call: CallId) -> TurnedAway:
+def _unknown_pool_rejection(call: CallId) -> Rejected:
     """Return the rejection of a request for a pool that doesn't exist."""
-    return TurnedAway(call, UNKNOWN_POOL, UNKNOWN_POOL_RETRY_AFTER)
+    return Rejected(call, UNKNOWN_POOL, UNKNOWN_POOL_RETRY_AFTER)
--- a/carawayfold/coordination/scheduling/division.py
+++ b/carawayfold/coordination/scheduling/division.py
@@ -73,7 +73,7 @@
         return PoolDraw(count, pool, draw)
 
 
-def choose(weights: Mapping[PoolId, int], prefix: str) -> PoolId:
+def choose_pool(weights: Mapping[PoolId, int], prefix: str) -> PoolId:
     """Return the pool of requests with a prefix.
 
     Parameters
@@ -87,7 +87,7 @@
     return max(weights, key=lambda pool: _score(f"{pool}|{prefix}", weights[pool]))
 
 
-def choose_further(
+def choose_fallback_pool(
     weights: Mapping[PoolId, int], asked: Collection[PoolId], call: CallId
 ) -> PoolId | None:
     """Return the next pool for a request that other pools could not serve in time.
@@ -108,7 +108,7 @@
         None if no pool is left.
     """
     remaining = {pool: weight for pool, weight in weights.items() if pool not in asked}
-    return choose(remaining, call) if remaining else None
+    return choose_pool(remaining, call) if remaining else None
 
 
 def _score(text: str, weight: int) -> float:
--- a/carawayfold/coordination/scheduling/donors.py
+++ b/carawayfold/coordination/scheduling/donors.py
@@ -20,7 +20,7 @@
 
 #: Minimum tokens of a copy. Prefilling 200 tokens takes an engine one to two
 #: milliseconds, so the set-up of a smaller copy is not worth it.
-LEAST_FETCHED = 200
+MIN_COPIED_TOKENS = 200
 
 
 class CopySource(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
     def copied_tokens(self, endpoint: EndpointId, cached: int) -> int:
         """Return the tokens that `endpoint` copies if it has `cached` itself."""
         more = self.cached_tokens - cached
-        return more if endpoint != self.id and more >= LEAST_FETCHED else 0
+        return more if endpoint != self.id and more >= MIN_COPIED_TOKENS else 0
 
 
 def find_copy_source(offer: Offer, backlogs: Collection[Backlog]) -> CopySource | None:
@@ -51,11 +51,11 @@
     prefix, the engine named by the request's router is used, which has it cached in
     another pool.
     """
-    if offer.shared_prefix_tokens < LEAST_FETCHED:
+    if offer.shared_prefix_tokens < MIN_COPIED_TOKENS:
         return None
     prompt = offer.prompt
     best: CopySource | None = None
-    longest = LEAST_FETCHED - 1
+    longest = MIN_COPIED_TOKENS - 1
     for backlog in backlogs:
         prefixes = backlog.load.prefixes
         if not offer.may_run_in(backlog.data_centre):
@@ -66,8 +66,8 @@
         if present > longest:
             longest = present
             best = CopySource(backlog.id, present)
-    if best is not None or offer.kept_at is None:
+    if best is not None or offer.cached_at is None:
         return best
-    if any(offer.kept_at == backlog.id for backlog in backlogs):
+    if any(offer.cached_at == backlog.id for backlog in backlogs):
         return None
-    return CopySource(offer.kept_at, offer.shared_prefix_tokens)
+    return CopySource(offer.cached_at, offer.shared_prefix_tokens)
--- a/carawayfold/coordination/scheduling/endpoint_load.py
+++ b/carawayfold/coordination/scheduling/endpoint_load.py
@@ -53,7 +53,7 @@
     prefill_tokens: int
     memory: int
     since: float
-    refreshed: float
+    reported_at: float
     queued_tokens: int = 0
     begun: bool = False
     prompt: tuple[Part, ...] = ()
--- a/carawayfold/coordination/scheduling/held_back.py
+++ b/carawayfold/coordination/scheduling/held_back.py
@@ -12,7 +12,7 @@
 import msgspec
 import xxhash
 
-from carawayfold.coordination.scheduling.offers import TurnedAway
+from carawayfold.coordination.scheduling.offers import Rejected
 from carawayfold.state.ids import OrganisationId, PoolId
 
 if TYPE_CHECKING:
@@ -91,10 +91,10 @@
         limit.admitted_fraction = decision.admitted_fraction
         limit.until = now + ADMISSION_DURATION
         limit.decider = sender
-        if isinstance(decision, TurnedAway):
+        if isinstance(decision, Rejected):
             limit.retry_after = decision.retry_after
 
-    def reject(self, offer: Offer, pool: PoolId, now: float) -> TurnedAway | None:
+    def reject(self, offer: Offer, pool: PoolId, now: float) -> Rejected | None:
         """Return the rejection of a request that may not be offered, None if it may."""
         limit = self.limits.get(_key_of(offer, pool))
         if limit is None or limit.until < now:
@@ -108,7 +108,7 @@
         wait = limit.retry_after * (
             MIN_RETRY_FACTOR + (MAX_RETRY_FACTOR - MIN_RETRY_FACTOR) * position
         )
-        return TurnedAway(offer.call, REJECTION_REASON, wait, None, limit.decider)
+        return Rejected(offer.call, REJECTION_REASON, wait, None, limit.decider)
 
     def take_throttled_tokens(self, offer: Offer, pool: PoolId) -> int:
         """Return the tokens throttled since the last offer, and reset the count."""
--- a/carawayfold/coordination/scheduling/messages.py
+++ b/carawayfold/coordination/scheduling/messages.py
@@ -8,7 +8,7 @@
     Basis,
     Granted,
     Offer,
-    TurnedAway,
+    Rejected,
 )
 from carawayfold.protocol.datagrams import (
     GrantMessage,
@@ -36,7 +36,7 @@
         due=round((offer.due - now) * 1000),
         expires=round((offer.expires - now) * 1000),
         avoid=list(offer.avoid),
-        kept_at=offer.kept_at,
+        cached_at=offer.cached_at,
         data_centre=offer.data_centre,
         allowed=sorted(offer.allowed or ()),
         rests=[(name, round((at - now) * 1000)) for name, at in offer.rests.items()],
@@ -44,7 +44,7 @@
     )
 
 
-def offer_of(message: OfferMessage, router: RouterId, now: float) -> Offer:
+def offer_from_message(message: OfferMessage, router: RouterId, now: float) -> Offer:
     """Return the request offered by a router, with times in local monotonic seconds."""
     return Offer(
         call=message.call,
@@ -60,7 +60,7 @@
         due=now + message.due / 1000,
         expires=now + message.expires / 1000,
         avoid=frozenset(message.avoid),
-        kept_at=message.kept_at,
+        cached_at=message.cached_at,
         allowed=frozenset(message.allowed) or None,
         rests={name: now + left / 1000 for name, left in message.rests},
         throttled_tokens=message.throttled_tokens,
@@ -74,14 +74,18 @@
         return GrantMessage(
             decision.call,
             decision.endpoint,
-            decision.donor,
+            decision.copy_source,
             basis.offset,
             round(basis.age * 1000),
             admitted_fraction,
         )
     retry_after = round(decision.retry_after * 1000)
     return RejectMessage(
-        decision.call, decision.reason, retry_after, decision.kept_at, admitted_fraction
+        decision.call,
+        decision.reason,
+        retry_after,
+        decision.cached_at,
+        admitted_fraction,
     )
 
 
@@ -91,19 +95,19 @@
     return Granted(
         message.call,
         message.endpoint,
-        message.donor,
+        message.copy_source,
         basis,
         message.admitted_fraction / 1000,
     )
 
 
-def rejection_from_message(message: RejectMessage, sender: RouterId) -> TurnedAway:
+def rejection_from_message(message: RejectMessage, sender: RouterId) -> Rejected:
     """Return the rejection in a message of `sender`."""
-    return TurnedAway(
+    return Rejected(
         message.call,
         message.reason,
         message.retry_after / 1000,
-        message.kept_at,
+        message.cached_at,
         sender,
         message.admitted_fraction / 1000,
     )
--- a/carawayfold/coordination/scheduling/offers.py
+++ b/carawayfold/coordination/scheduling/offers.py
@@ -96,7 +96,7 @@
     due: float
     expires: float
     avoid: frozenset[EndpointId] = frozenset()
-    kept_at: EndpointId | None = None
+    cached_at: EndpointId | None = None
     allowed: frozenset[DataCentreId] | None = None
     rests: dict[EndpointId, float] = field(default_factory=dict)
     value_density: int = 0
@@ -149,7 +149,7 @@
         return cls.CANCELLED
 
 
-class Bar(Enum):
+class BlockReason(Enum):
     """Reason why a request is not sent to the endpoint it was granted."""
 
     LEAVING = "leaving"
@@ -166,7 +166,10 @@
 
 
 #: Outcome reported for each reason; `Outcome.LEAVING` for those not listed.
-BLOCK_OUTCOMES = {Bar.WARMING: Outcome.WARMING, Bar.RESTING: Outcome.CANCELLED}
+BLOCK_OUTCOMES = {
+    BlockReason.WARMING: Outcome.WARMING,
+    BlockReason.RESTING: Outcome.CANCELLED,
+}
 
 
 class Basis(msgspec.Struct, frozen=True):
@@ -202,12 +205,12 @@
 
     call: CallId
     endpoint: EndpointId
-    donor: EndpointId | None = None
+    copy_source: EndpointId | None = None
     basis: Basis | None = None
     admitted_fraction: float = 1.0
 
 
-class TurnedAway(msgspec.Struct, frozen=True):
+class Rejected(msgspec.Struct, frozen=True):
     """Rejection of a request that can't be served in time.
 
     Attributes
@@ -228,9 +231,9 @@
     call: CallId
     reason: str
     retry_after: float
-    kept_at: EndpointId | None = None
+    cached_at: EndpointId | None = None
     decider: RouterId | None = None
     admitted_fraction: float = 1.0
 
 
-Decision = Granted | TurnedAway
+Decision = Granted | Rejected
--- a/carawayfold/coordination/scheduling/placement.py
+++ b/carawayfold/coordination/scheduling/placement.py
@@ -22,13 +22,13 @@
 
 #: Seconds of prefill that may be queued in an engine. Less leaves the engine idle
 #: between two requests, more lets long prompts queue in front of short ones.
-READ_AHEAD = 0.1
+READ_AHEAD_DURATION = 0.1
 #: Weight of prefilling a shared part again, relative to its prefill time. Prefill
 #: slows down all requests that run on the engine.
-REREAD_WEIGHT = 16.0
+REPEATED_PREFILL_WEIGHT = 16.0
 #: Weight of copying a token from another engine, relative to its prefill time. Higher
 #: than the cost of the copy, so that requests stay where their prefixes are cached.
-FETCH_WEIGHT = 4.0
+COPY_WEIGHT = 4.0
 #: Penalty in seconds of an endpoint where the request misses its objective, so that no
 #: request waits too long for its prefix while other engines are idle.
 LATE_PENALTY = 1.0
@@ -95,7 +95,7 @@
 def choose_endpoint(
     offer: Offer,
     backlogs: Iterable[Backlog],
-    donor: CopySource | None,
+    copy_source: CopySource | None,
     share: float,
     now: float,
 ) -> Candidate | None:
@@ -116,25 +116,31 @@
     """
     best: Candidate | None = None
     for backlog in backlogs:
-        candidate = evaluate(offer, backlog, donor, share, now)
+        candidate = evaluate(offer, backlog, copy_source, share, now)
         if best is None or candidate.cost < best.cost:
             best = candidate
     return best
 
 
 def evaluate(
-    offer: Offer, backlog: Backlog, donor: CopySource | None, share: float, now: float
+    offer: Offer,
+    backlog: Backlog,
+    copy_source: CopySource | None,
+    share: float,
+    now: float,
 ) -> Candidate:
     """Return the evaluation of one endpoint for a request; see `choose_endpoint`."""
     load = backlog.load
     speed = backlog.speed
     kept = load.prefixes.kept(offer.prompt)
-    copied_tokens = donor.copied_tokens(backlog.id, kept) if donor is not None else 0
+    copied_tokens = (
+        copy_source.copied_tokens(backlog.id, kept) if copy_source is not None else 0
+    )
     prefill_tokens = offer.prompt_tokens - kept - copied_tokens
     memory = prefill_tokens + copied_tokens + offer.output_tokens
     starts_in = _time_until_room(backlog, prefill_tokens, memory, share)
     first_token_in = starts_in + _time_to_first_token(offer, backlog, prefill_tokens)
-    cost = first_token_in + FETCH_WEIGHT * copied_tokens / speed
+    cost = first_token_in + COPY_WEIGHT * copied_tokens / speed
     used = backlog.running / backlog.slots
     if offer.prompt_tokens:
         cost += FAILURE_PENALTY * backlog.failure_ratio + FULL_ENGINE_PENALTY * used
@@ -149,7 +155,7 @@
         cost += LATE_PENALTY
     repeated_prefill = offer.shared_prefix_tokens - kept - copied_tokens
     if repeated_prefill > 0:
-        cost += REREAD_WEIGHT * repeated_prefill / speed
+        cost += REPEATED_PREFILL_WEIGHT * repeated_prefill / speed
     if backlog.data_centre != offer.data_centre:
         cost += REMOTE_PENALTY
     return Candidate(
@@ -167,7 +173,7 @@
     if not offer.prompt_tokens:
         return backlog.residence
     queued = backlog.prefill_tokens
-    max_queued = backlog.speed * READ_AHEAD
+    max_queued = backlog.speed * READ_AHEAD_DURATION
     if queued > max_queued:
         queued = max_queued
     return (queued + prefill_tokens) / backlog.speed + backlog.first_token
@@ -180,7 +186,9 @@
     longest = max(0.0, backlog.available_in)
     if backlog.prefill_tokens > 0:
         over = (
-            backlog.prefill_tokens + prefill_tokens - backlog.speed * READ_AHEAD * share
+            backlog.prefill_tokens
+            + prefill_tokens
+            - backlog.speed * READ_AHEAD_DURATION * share
         )
         longest = max(longest, over / backlog.speed)
     slots = backlog.slots * share
--- a/carawayfold/coordination/scheduling/scheduler.py
+++ b/carawayfold/coordination/scheduling/scheduler.py
@@ -25,7 +25,10 @@
 import xxhash
 
 from carawayfold.coordination.scheduling.backlog import Backlog
-from carawayfold.coordination.scheduling.donors import LEAST_FETCHED, find_copy_source
+from carawayfold.coordination.scheduling.donors import (
+    MIN_COPIED_TOKENS,
+    find_copy_source,
+)
 from carawayfold.coordination.scheduling.endpoint_load import (
     DEFAULT_RESIDENCE,
     ActiveRequest,
@@ -37,7 +40,7 @@
     Granted,
     Offer,
     Outcome,
-    TurnedAway,
+    Rejected,
 )
 from carawayfold.coordination.scheduling.placement import (
     Candidate,
@@ -72,31 +75,31 @@
 WARM_UP_RATE_FRACTION = 0.8
 #: Fraction of an engine's read-ahead and slots that requests beyond their
 #: organisation's share may fill, so that requests within a share find room at once.
-BEYOND_SHARE_PART = 0.5
+BEYOND_SHARE_FRACTION = 0.5
 #: A route is preferred while its granted ratio is below this fraction of the overall
 #: granted ratio.
-LEAST_SERVED = 0.6
+MIN_SERVED_RATIO = 0.6
 #: Half-life in seconds of the offer and grant counts of a route.
 SERVED_HALF_LIFE = 5.0
 #: Tokens added to the cost of a request, so that very small ones don't count as free.
-FIXED_COST = 200
+FIXED_COST_TOKENS = 200
 #: Fraction of its objective by which the predicted first token of a request may be
 #: late before the request is rejected; allows for the error of predictions.
 PREDICTION_MARGIN = 0.15
 #: Fraction of its own prefill time by which a request may miss its objective.
 #: Prompts whose prefill takes most of the objective would never be served otherwise.
-OWN_READING = 0.6
+OWN_PREFILL_FRACTION = 0.6
 #: Fraction of its total time that a request past its objective may wait for idle
 #: capacity.
-LATE_PATIENCE = 0.02
+LATE_WAIT_FRACTION = 0.02
 #: Bounds in seconds of the retry delay of rejected requests.
 MIN_RETRY_AFTER = 0.3
 MAX_RETRY_AFTER = 5.0
 #: Retry delay of requests that can't be answered in time, as a multiple of their
 #: predicted wait, so that the queue is shorter by then.
-LATE_RETRY = 2.0
+LATE_RETRY_FACTOR = 2.0
 #: Maximum retry delay as a fraction of the time until the request expires.
-RETRY_PART = 1 / 3
+MAX_RETRY_FRACTION = 1 / 3
 #: Seconds between reviews of the whole queue, which sort it again and reject requests
 #: that can't be in time any more.
 REVIEW_INTERVAL = 0.04
@@ -254,7 +257,7 @@
     plan: PoolPlan = field(default_factory=PoolPlan)
     loads: dict[EndpointId, EndpointLoad] = field(default_factory=dict)
     waiting: dict[CallId, Offer] = field(default_factory=dict)
-    refreshed: dict[CallId, float] = field(default_factory=dict)
+    reported_at: dict[CallId, float] = field(default_factory=dict)
     placements: dict[CallId, EndpointId] = field(default_factory=dict)
     unreachable: dict[tuple[RouterId, EndpointId], float] = field(default_factory=dict)
     routes: dict[RouteId, RouteStatistics] = field(default_factory=dict)
@@ -291,7 +294,7 @@
 
     def offer(self, offer: Offer, now: float) -> None:
         """Add a request to the queue, or refresh it if it is queued already."""
-        self.refreshed[offer.call] = now
+        self.reported_at[offer.call] = now
         if offer.call in self.waiting:
             return
         self.waiting[offer.call] = offer
@@ -310,7 +313,7 @@
 
     def _record_prefix_hint(self, offer: Offer) -> None:
         """Record where a router last sent a prefix, if no engine has it."""
-        load = self.loads.get(offer.kept_at) if offer.kept_at else None
+        load = self.loads.get(offer.cached_at) if offer.cached_at else None
         if load is None or len(offer.prompt) < 2:
             return
         shared = offer.prompt[:-1]
@@ -326,7 +329,7 @@
     def withdraw(self, call: CallId) -> None:
         """Remove a waiting request."""
         self.waiting.pop(call, None)
-        self.refreshed.pop(call, None)
+        self.reported_at.pop(call, None)
 
     def begun(self, call: CallId, waited: float) -> None:
         """Record the first token of a request, `waited` seconds after it was sent."""
@@ -388,18 +391,18 @@
             load.add(active)
             self.placements[active.call] = endpoint
             return
-        known.refreshed = active.refreshed
+        known.reported_at = active.reported_at
         if active.begun and not known.begun:
             load.begin(active.call, 0.0)
 
     def expire(self, now: float) -> None:
         """Drop requests that are no longer reported, and expired unreachability."""
-        for call, offered_at in list(self.refreshed.items()):
+        for call, offered_at in list(self.reported_at.items()):
             if now - offered_at > OFFER_TIMEOUT:
                 self.withdraw(call)
         for load in self.loads.values():
             for active in list(load.active.values()):
-                if now - active.refreshed > ACTIVE_REPORT_TIMEOUT:
+                if now - active.reported_at > ACTIVE_REPORT_TIMEOUT:
                     load.remove(active.call)
                     self.placements.pop(active.call, None)
         for pair, until in list(self.unreachable.items()):
@@ -502,15 +505,15 @@
         self, offer: Offer, backlogs: list[Backlog], now: float
     ) -> Decision | None:
         usable = self._usable_backlogs(offer, backlogs, now)
-        donor = find_copy_source(offer, backlogs)
+        copy_source = find_copy_source(offer, backlogs)
         share = self._fillable_share(offer)
-        candidate = choose_endpoint(offer, usable, donor, share, now)
+        candidate = choose_endpoint(offer, usable, copy_source, share, now)
         if candidate is None:
             return self._decide_without_endpoint(offer, backlogs, now)
         if candidate.starts_in <= 0:
             self._grant(offer, candidate, now)
             candidate.backlog.add(candidate.prefill_tokens, candidate.memory)
-            source_id = donor.id if candidate.copied_tokens else None
+            source_id = copy_source.id if candidate.copied_tokens else None
             admitted_fraction = self._admitted_fraction(offer, now)
             return Granted(
                 offer.call,
@@ -527,7 +530,7 @@
         """Return the fraction of each endpoint that a request may fill."""
         if self.usage.is_owed(offer.organisation, offer.charged_tokens):
             return self.plan.share
-        return self.plan.share * BEYOND_SHARE_PART
+        return self.plan.share * BEYOND_SHARE_FRACTION
 
     def _backlogs(self, now: float) -> list[Backlog]:
         unreachable_ids = {endpoint for _, endpoint in self.unreachable}
@@ -588,10 +591,10 @@
 
     def _is_too_late(self, offer: Offer, first_token_in: float, now: float) -> bool:
         if now >= offer.due:
-            max_wait = (offer.expires - offer.arrived) * LATE_PATIENCE
+            max_wait = (offer.expires - offer.arrived) * LATE_WAIT_FRACTION
             return now - offer.arrived > max_wait
         margin = (offer.due - offer.arrived) * PREDICTION_MARGIN
-        own_prefill = offer.prompt_tokens / self.speed * OWN_READING
+        own_prefill = offer.prompt_tokens / self.speed * OWN_PREFILL_FRACTION
         return now + first_token_in > offer.due + margin + own_prefill
 
     def _decide_without_endpoint(
@@ -623,16 +626,14 @@
             default=math.inf,
         )
 
-    def _reject_late(
-        self, offer: Offer, first_token_in: float, now: float
-    ) -> TurnedAway:
+    def _reject_late(self, offer: Offer, first_token_in: float, now: float) -> Rejected:
         """Reject a request that could not be answered in time."""
         self.full_until = now + FULL_DURATION
         return self._reject(
-            offer, "no answer in time", LATE_RETRY * first_token_in, now
+            offer, "no answer in time", LATE_RETRY_FACTOR * first_token_in, now
         )
 
-    def _reject(self, offer: Offer, reason: str, wait: float, now: float) -> TurnedAway:
+    def _reject(self, offer: Offer, reason: str, wait: float, now: float) -> Rejected:
         """Reject a request, with a retry delay that is spread between callers.
 
         Parameters
@@ -648,11 +649,11 @@
         """
         draw = xxhash.xxh3_64_intdigest(offer.call.encode()) % 1000 / 1000
         wanted = max(MIN_RETRY_AFTER, wait) * (0.75 + 0.5 * draw)
-        longest = max(MIN_RETRY_AFTER, (offer.expires - now) * RETRY_PART)
+        longest = max(MIN_RETRY_AFTER, (offer.expires - now) * MAX_RETRY_FRACTION)
         retry_after = min(wanted, longest, MAX_RETRY_AFTER)
         holder = self._find_prefix_holder(offer, now)
         admitted_fraction = self._admitted_fraction(offer, now)
-        return TurnedAway(
+        return Rejected(
             offer.call, reason, retry_after, holder, admitted_fraction=admitted_fraction
         )
 
@@ -670,10 +671,10 @@
 
     def _find_prefix_holder(self, offer: Offer, now: float) -> EndpointId | None:
         """Return the engine with the longest prefix that can be copied, if any."""
-        if offer.shared_prefix_tokens < LEAST_FETCHED:
+        if offer.shared_prefix_tokens < MIN_COPIED_TOKENS:
             return None
         unreachable_ids = {endpoint for _, endpoint in self.unreachable}
-        longest, holder = LEAST_FETCHED - 1, None
+        longest, holder = MIN_COPIED_TOKENS - 1, None
         for name, load in self.loads.items():
             present = load.prefixes.present(offer.prompt)
             if (
@@ -699,7 +700,7 @@
         within_share = self.usage.is_owed(offer.organisation, offer.charged_tokens)
         late = now >= offer.due
         route_not_behind = (
-            self.routes[offer.route].granted_ratio() >= LEAST_SERVED * overall
+            self.routes[offer.route].granted_ratio() >= MIN_SERVED_RATIO * overall
         )
         return Rank(
             organisation_not_behind=not self.usage.is_behind(offer.organisation),
@@ -722,4 +723,6 @@
             default=0,
         )
         cost = offer.prompt_tokens - kept + OUTPUT_TOKEN_WEIGHT * offer.output_tokens
-        return math.floor(math.log2((offer.answer_value + 1) / (cost + FIXED_COST)))
+        return math.floor(
+            math.log2((offer.answer_value + 1) / (cost + FIXED_COST_TOKENS))
+        )
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -24,7 +24,7 @@
 from carawayfold.coordination.requests.forwarding import Forwarder
 from carawayfold.coordination.requests.shedding import ShedLog
 from carawayfold.coordination.scheduling.caches import CacheReader
-from carawayfold.coordination.scheduling.desk import Desk
+from carawayfold.coordination.scheduling.coordinator import SchedulingCoordinator
 from carawayfold.coordination.scheduling.offers import Basis
 from carawayfold.platform.engines import EngineClient
 from carawayfold.platform.headers import REQUEST_ID, PlatformDialect
@@ -117,8 +117,12 @@
         )
         self.socket = PeerSocket(settings.router, incarnation, self._on_datagram)
         self.fleet = Fleet(self.socket, own, self._build_heartbeat, self._fleet_changed)
-        self.desk = Desk(self.fleet, settings.share_window, self._offer_basis)
-        self.caches = CacheReader(EngineClient(self.http), self.desk, self._spawn)
+        self.coordinator = SchedulingCoordinator(
+            self.fleet, settings.share_window, self._offer_basis
+        )
+        self.caches = CacheReader(
+            EngineClient(self.http), self.coordinator, self._spawn
+        )
         self.store = StoreClient(self.http, settings.store)
         self.directory = StoreDirectory(self.store)
         #: Set when the store has been restored from a copy.
@@ -131,21 +135,21 @@
             lambda: self.anti_entropy.information_age(),
         )
         self.anti_entropy = AntiEntropy(self.fleet, self.knowledge, self.http)
-        self.notices = Notices(self.fleet, self.knowledge, self.desk.rests)
+        self.notices = Notices(self.fleet, self.knowledge, self.coordinator.rests)
         self.metrics = ForwardMetrics()
         pulse = Pulse()
         self.containment = Containment(
             self.fleet,
-            lambda endpoint: self.desk.endpoints.get(endpoint),
+            lambda endpoint: self.coordinator.endpoints.get(endpoint),
             pulse,
             probe,
             self.directory,
             self._spawn,
             lambda content: self.forwarder.stop_content(content),
-            self.desk.endpoint_lost,
+            self.coordinator.suspend_endpoint,
         )
         self.forwarder = Forwarder(
-            self.desk,
+            self.coordinator,
             self.http,
             PlatformDialect(),
             RetryBudget(settings.budget, loop.time()),
@@ -187,10 +191,10 @@
         )
         self._spawn(joining)
         self._spawn(self.fleet.keep_beating())
-        self._spawn(self.desk.keep_telling())
+        self._spawn(self.coordinator.report_periodically())
         self._spawn(self.containment.keep_looking())
         self._spawn(self.anti_entropy.keep_asking())
-        self._spawn(self.notices.keep_telling())
+        self._spawn(self.notices.report_periodically())
         self._spawn(self._close_idle_periodically())
         self._spawn(self._sample_loop_delay())
         logger.info("router started", extra={"router": self.settings.router})
@@ -358,15 +362,15 @@
         self.fleet.take(datagram, source)
         if can_tell(self.fleet, datagram.sender) is not was_current:
             self.anti_entropy.wake()
-        self.desk.take(datagram)
+        self.coordinator.take(datagram)
         self.containment.take(datagram)
         self.notices.take(datagram)
 
     def _fleet_changed(self) -> None:
-        self.desk.fleet_changed()
+        self.coordinator.fleet_changed()
         self.containment.fleet_changed()
         self.anti_entropy.wake()
-        self.caches.look()
+        self.caches.query_new_engines()
 
     def _store_changed(self) -> None:
         # The store has become reachable or unreachable from this router, so that
@@ -392,14 +396,14 @@
         if self.knowledge.routes is not None:
             knowledge = self.knowledge
             evacuated = knowledge.evacuations.active
-            removed = self.desk.refresh(
+            removed = self.coordinator.refresh(
                 knowledge.endpoints, knowledge.routes, evacuated
             )
             for endpoint in removed:
                 self.http.drop_idle(endpoint.address)
                 self.containment.endpoint_gone(endpoint)
             self.forwarder.withdraw_barred()
-            self.caches.look()
+            self.caches.query_new_engines()
 
     def is_ready(self) -> bool:
         """Return whether the router accepts new connections."""
--- a/carawayfold/platform/headers.py
+++ b/carawayfold/platform/headers.py
@@ -117,7 +117,7 @@
         organisation: OrganisationId,
         time_left: float,
         resume_after: int | None,
-        donor: Endpoint | None = None,
+        copy_source: Endpoint | None = None,
     ) -> HeaderList:
         """Return the headers of a request to `endpoint`; see `Dialect`.
 
@@ -130,8 +130,8 @@
             headers.append((ORGANISATION, organisation))
         if resume_after is not None:
             headers.append((RESUME_AFTER, str(resume_after)))
-        if donor is not None:
-            headers.append((COPY_FROM, str(donor.address)))
+        if copy_source is not None:
+            headers.append((COPY_FROM, str(copy_source.address)))
         return headers
 
     def answers(self, asked: Asked, head: Head) -> bool:
--- a/carawayfold/protocol/datagrams.py
+++ b/carawayfold/protocol/datagrams.py
@@ -21,7 +21,7 @@
 )
 
 #: Maximum bytes of a datagram, so that it fits one packet of common networks.
-SIZE_LIMIT = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
 class Beat(msgspec.Struct, array_like=True, tag=1, frozen=True):
@@ -125,7 +125,7 @@
     due: int
     expires: int
     avoid: list[EndpointId] = []
-    kept_at: EndpointId | None = None
+    cached_at: EndpointId | None = None
     data_centre: DataCentreId = DataCentreId("")
     allowed: list[DataCentreId] = []
     rests: list[tuple[EndpointId, int]] = []
@@ -166,7 +166,7 @@
 
     call: CallId
     endpoint: EndpointId
-    donor: EndpointId | None = None
+    copy_source: EndpointId | None = None
     offset: Position = Position(0)
     age: int = 0
     admitted_fraction: int = 1000
@@ -192,7 +192,7 @@
     call: CallId
     reason: str
     retry_after: int
-    kept_at: EndpointId | None = None
+    cached_at: EndpointId | None = None
     admitted_fraction: int = 1000
 
 
@@ -214,7 +214,7 @@
     waited: int
 
 
-class EndedMessage(msgspec.Struct, array_like=True, tag=8, frozen=True):
+class AttemptEndedMessage(msgspec.Struct, array_like=True, tag=8, frozen=True):
     """End of an attempt at an endpoint."""
 
     pool: PoolId
@@ -222,7 +222,7 @@
     outcome: str
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
+class ActiveRequestReport(msgspec.Struct, array_like=True, frozen=True):
     """One request that its router has in flight at an endpoint.
 
     Attributes
@@ -246,11 +246,11 @@
     begun: bool
 
 
-class HoldingMessage(msgspec.Struct, array_like=True, tag=9, frozen=True):
+class ActiveRequestsMessage(msgspec.Struct, array_like=True, tag=9, frozen=True):
     """Some of the requests that a router has in flight at a pool's endpoints."""
 
     pool: PoolId
-    held: list[Held]
+    held: list[ActiveRequestReport]
 
 
 class HubEntry(msgspec.Struct, array_like=True, frozen=True):
@@ -357,8 +357,8 @@
     | GrantMessage
     | RejectMessage
     | FirstByteMessage
-    | EndedMessage
-    | HoldingMessage
+    | AttemptEndedMessage
+    | ActiveRequestsMessage
     | RosterMessage
     | CrashMessage
     | RanWellMessage
--- a/carawayfold/protocol/exchanges.py
+++ b/carawayfold/protocol/exchanges.py
@@ -108,7 +108,7 @@
         organisation: OrganisationId,
         time_left: float,
         resume_after: int | None,
-        donor: Endpoint | None = None,
+        copy_source: Endpoint | None = None,
     ) -> HeaderList:
         """Return the headers of a request to `endpoint`.
 
--- a/carawayfold/protocol/forward_exposition.py
+++ b/carawayfold/protocol/forward_exposition.py
@@ -62,7 +62,7 @@
         yield CounterMetricFamily(
             "carawayfold_decided_alone",
             "Grants of this router for pools that another one leads",
-            gateway.desk.tallies.alone,
+            gateway.coordinator.decision_statistics.alone,
         )
         yield from self._repeats()
         yield self._prediction_errors()
@@ -90,10 +90,10 @@
             "Mean error of predicted waits for first tokens",
             labels=("endpoint",),
         )
-        for pool, desk in self.gateway.desk.pools.items():
-            if not self.gateway.desk.decides_for(pool):
+        for pool, coordinator in self.gateway.coordinator.pools.items():
+            if not self.gateway.coordinator.decides_for(pool):
                 continue
-            for endpoint, load in desk.scheduler.loads.items():
+            for endpoint, load in coordinator.scheduler.loads.items():
                 errors.add_metric((endpoint,), load.first_tokens.error)
         return errors
 
@@ -101,7 +101,7 @@
         gateway = self.gateway
         quarantine = gateway.containment.quarantine
         now = gateway.fleet.loop.time()
-        known = gateway.desk.basis()
+        known = gateway.coordinator.basis()
         endpoints = gateway.knowledge.endpoints.entries.values()
         evacuated = gateway.knowledge.evacuations.active
         budget = gateway.forwarder.budget
--- a/carawayfold/transport/datagrams.py
+++ b/carawayfold/transport/datagrams.py
@@ -13,7 +13,7 @@
 import logbook
 import msgspec
 
-from carawayfold.protocol.datagrams import SIZE_LIMIT, Datagram, decode, encode
+from carawayfold.protocol.datagrams import MAX_DATAGRAM_BYTES, Datagram, decode, encode
 from carawayfold.settings import Address
 
 if TYPE_CHECKING:
@@ -122,7 +122,7 @@
 
     def _send_all(self, address: Address, messages: list[Message]) -> None:
         data = encode(Datagram(self.router, self.incarnation, messages))
-        if len(data) > SIZE_LIMIT and len(messages) > 1:
+        if len(data) > MAX_DATAGRAM_BYTES and len(messages) > 1:
             half = len(messages) // 2
             self._send_all(address, messages[:half])
             self._send_all(address, messages[half:])
--- a/tests/coordination/requests/test_attempts.py
+++ b/tests/coordination/requests/test_attempts.py
@@ -9,7 +9,7 @@
 
 from carawayfold.coordination.requests.attempts import Attempt, AttemptRequest
 from carawayfold.coordination.requests.repeats import AttemptEnd
-from carawayfold.coordination.scheduling.offers import Bar
+from carawayfold.coordination.scheduling.offers import BlockReason
 from carawayfold.state.routes import RouteKind
 from carawayfold.transport.client import ExchangeError, Phase
 from tests.schedule_builders import endpoint, route
@@ -39,7 +39,7 @@
         loop=loop,
         http=FakeHttp(phase),
         dialect=SimpleNamespace(request_headers=lambda *args: []),
-        desk=SimpleNamespace(is_over=lambda item: False),
+        coordinator=SimpleNamespace(is_superseded=lambda item: False),
     )
     call = SimpleNamespace(
         incoming=SimpleNamespace(method=b"POST", target=b"/x", body=b""),
@@ -61,7 +61,7 @@
         attempt = make_attempt(phase)
         running = asyncio.create_task(attempt.run())
         await asyncio.sleep(0)
-        attempt.withdraw(Bar.LEAVING)
+        attempt.withdraw(BlockReason.LEAVING)
         await asyncio.sleep(0.01)
         ended = running.result() if running.done() else None
         running.cancel()
--- a/tests/coordination/scheduling/test_caches.py
+++ b/tests/coordination/scheduling/test_caches.py
@@ -31,13 +31,13 @@
         return [Part("t-x", 1000)] if endpoint.id == self.keeper else []
 
 
-async def learn(desk, source):
+async def learn(coordinator, source):
     tasks = []
     reader = CacheReader(
-        source, desk, lambda work: tasks.append(asyncio.ensure_future(work))
+        source, coordinator, lambda work: tasks.append(asyncio.ensure_future(work))
     )
-    reader.look()
-    reader.look()
+    reader.query_new_engines()
+    reader.query_new_engines()
     await asyncio.gather(*tasks)
     return reader
 
@@ -46,10 +46,10 @@
     async def work():
         places = []
         for keeper in ("e-0", "e-1", "e-2"):
-            desk = coordinators(SimulatedNetwork(), ["a"], endpoints=3)["a"]
+            coordinator = coordinators(SimulatedNetwork(), ["a"], endpoints=3)["a"]
             source = FakeCaches(keeper)
-            await learn(desk, source)
-            decision = await desk.place(request(desk, "x"), "model/0")
+            await learn(coordinator, source)
+            decision = await coordinator.place(request(coordinator, "x"), "model/0")
             assert isinstance(decision, Granted)
             places.append(decision.endpoint)
             assert sorted(source.asked) == ["e-0", "e-1", "e-2"]
@@ -81,7 +81,7 @@
         made[other].fleet.membership.heard(first, stopping=True)
         tasks = []
         reader.spawn = lambda work: tasks.append(asyncio.ensure_future(work))
-        reader.look()
+        reader.query_new_engines()
         await asyncio.gather(*tasks)
         return sorted(source.asked)
 
@@ -90,8 +90,8 @@
 
 def test_a_failed_cache_query_does_not_stop_scheduling():
     async def work():
-        desk = coordinators(SimulatedNetwork(), ["a"])["a"]
-        await learn(desk, FakeCaches(None))
-        return await desk.place(request(desk, "x"), "model/0")
+        coordinator = coordinators(SimulatedNetwork(), ["a"])["a"]
+        await learn(coordinator, FakeCaches(None))
+        return await coordinator.place(request(coordinator, "x"), "model/0")
 
     assert isinstance(play(work), Granted)
--- a/tests/coordination/scheduling/test_desk.py
+++ b/tests/coordination/scheduling/test_desk.py
@@ -9,24 +9,24 @@
 
 import logbook
 import pytest
+from carawayfold.coordination.scheduling.coordinator import (
+    ACTIVE_REPORT_INTERVAL,
+    OFFER_RETRY_INTERVALS,
+    SchedulingCoordinator,
+)
 from msgspec import structs
 
 from carawayfold.coordination.fleet.membership import Member, Membership
 from carawayfold.coordination.fleet.suspects import Suspects
-from carawayfold.coordination.scheduling.desk import (
-    HOLDING_INTERVAL,
-    OFFER_RETRY_INTERVALS,
-    Desk,
-)
 from carawayfold.coordination.scheduling.division import MAX_POOL_SIZE
 from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
 from carawayfold.coordination.scheduling.offers import (
     UNKNOWN_POOL,
-    Bar,
     Basis,
+    BlockReason,
     Granted,
     Outcome,
-    TurnedAway,
+    Rejected,
 )
 from carawayfold.coordination.scheduling.scheduler import Scheduler
 from carawayfold.coordination.scheduling.tickets import TAKEOVER_DELAY, PoolState
@@ -52,7 +52,7 @@
         Messages sent so far.
     """
 
-    coordinators: dict[str, Desk] = field(default_factory=dict)
+    coordinators: dict[str, SchedulingCoordinator] = field(default_factory=dict)
     cut: set[str] = field(default_factory=set)
     lose: set[int] = field(default_factory=set)
     sent: int = 0
@@ -119,15 +119,15 @@
     for number in range(endpoints):
         table.put(endpoint(f"e-{number}", slots=slots))
     for name in names:
-        desk = Desk(FakeFleet(network, name, names), 4.0)
-        desk.refresh(table, routes())
-        network.coordinators[name] = desk
+        coordinator = SchedulingCoordinator(FakeFleet(network, name, names), 4.0)
+        coordinator.refresh(table, routes())
+        network.coordinators[name] = coordinator
     return network.coordinators
 
 
-def request(desk, call, **other):
+def request(coordinator, call, **other):
     now = asyncio.get_running_loop().time()
-    name = desk.fleet.own.router
+    name = coordinator.fleet.own.router
     return offer(f"{name}.1.{call}", f"t-{call}", now=now, router=name, **other)
 
 
@@ -143,8 +143,8 @@
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c"])
-        for name, desk in made.items():
-            decision = await desk.place(request(desk, name), "model/0")
+        for name, coordinator in made.items():
+            decision = await coordinator.place(request(coordinator, name), "model/0")
             assert isinstance(decision, Granted)
         first = decider(made)
         scheduler = made[first].pools["model/0"].scheduler
@@ -314,15 +314,15 @@
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a"], endpoints=4 * MAX_POOL_SIZE)
-        desk = made["a"]
-        offered = request(desk, "x")
+        coordinator = made["a"]
+        offered = request(coordinator, "x")
         pools = {
-            desk.pool_for("model", request(desk, str(number)).prompt)
+            coordinator.pool_for("model", request(coordinator, str(number)).prompt)
             for number in range(60)
         }
-        pool = desk.pool_for("model", offered.prompt)
-        again = desk.pool_for("model", offered.prompt)
-        decision = await desk.place(offered, pool)
+        pool = coordinator.pool_for("model", offered.prompt)
+        again = coordinator.pool_for("model", offered.prompt)
+        decision = await coordinator.place(offered, pool)
         return pools, pool == again, decision
 
     pools, stable, decision = play(work)
@@ -331,10 +331,10 @@
     assert isinstance(decision, Granted)
 
 
-def fill_pool(desk, pool):
+def fill_pool(coordinator, pool):
     """Fill all slots of a pool for longer than any request can wait."""
     now = asyncio.get_running_loop().time()
-    scheduler = desk.pools[pool].scheduler
+    scheduler = coordinator.pools[pool].scheduler
     for name, load in scheduler.loads.items():
         load.residence = 100.0
         for number in range(load.endpoint.slots):
@@ -348,14 +348,18 @@
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=2 * MAX_POOL_SIZE)
-        desk = made["a"]
-        asked = request(desk, "x")
-        own = desk.pool_for("model", asked.prompt)
+        coordinator = made["a"]
+        asked = request(coordinator, "x")
+        own = coordinator.pool_for("model", asked.prompt)
         for each in made.values():
             fill_pool(each, own)
-        decision = await desk.place_in_any(asked, "model")
-        (other,) = desk.pools.keys() - {own}
-        return decision, desk.pools[other], desk.placed[decision.call].pool == other
+        decision = await coordinator.place_with_fallback(asked, "model")
+        (other,) = coordinator.pools.keys() - {own}
+        return (
+            decision,
+            coordinator.pools[other],
+            coordinator.placed[decision.call].pool == other,
+        )
 
     decision, other, placed_there = play(work)
     assert isinstance(decision, Granted)
@@ -367,17 +371,17 @@
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=2 * MAX_POOL_SIZE)
-        desk = made["a"]
-        asked = request(desk, "x", tokens=5000)
-        own = desk.pool_for("model", asked.prompt)
-        keeper = next(iter(desk.pools[own].scheduler.loads))
+        coordinator = made["a"]
+        asked = request(coordinator, "x", tokens=5000)
+        own = coordinator.pool_for("model", asked.prompt)
+        keeper = next(iter(coordinator.pools[own].scheduler.loads))
         for each in made.values():
             fill_pool(each, own)
             each.pools[own].scheduler.record_cached_prefixes(
                 keeper, [Part("t-x", 5000)]
             )
-        decision = await desk.place_in_any(asked, "model")
-        return decision.donor == keeper
+        decision = await coordinator.place_with_fallback(asked, "model")
+        return decision.copy_source == keeper
 
     assert play(work)
 
@@ -385,12 +389,12 @@
 def test_a_request_that_no_pool_can_serve_in_time_is_rejected():
     async def work():
         made = coordinators(SimulatedNetwork(), ["a"], endpoints=2 * MAX_POOL_SIZE)
-        desk = made["a"]
-        for pool in desk.pools:
-            fill_pool(desk, pool)
-        return await desk.place_in_any(request(desk, "x"), "model")
+        coordinator = made["a"]
+        for pool in coordinator.pools:
+            fill_pool(coordinator, pool)
+        return await coordinator.place_with_fallback(request(coordinator, "x"), "model")
 
-    assert isinstance(play(work), TurnedAway)
+    assert isinstance(play(work), Rejected)
 
 
 def test_a_service_without_endpoints_is_refused_at_once():
@@ -398,33 +402,35 @@
         made = coordinators(SimulatedNetwork(), ["a"])
         return await made["a"].place(request(made["a"], "x"), "nothing/0")
 
-    assert isinstance(play(work), TurnedAway)
+    assert isinstance(play(work), Rejected)
 
 
-def restart(desk, table, name, incarnation):
+def restart(coordinator, table, name, incarnation):
     """Restart an endpoint under its name; return the endpoints that were removed."""
     table.put(endpoint(name, incarnation=incarnation))
-    return desk.refresh(table, routes())
+    return coordinator.refresh(table, routes())
 
 
 def test_no_state_of_an_endpoint_survives_its_restart():
     async def work():
         table = EndpointTable()
         table.put(endpoint("e-0", incarnation=1000))
-        desk = Desk(FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0)
-        desk.refresh(table, routes())
-        scheduler = desk.pools["model/0"].scheduler
-        asked = request(desk, "x", tokens=5000)
-        decision = await desk.place(asked, "model/0")
+        coordinator = SchedulingCoordinator(
+            FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0
+        )
+        coordinator.refresh(table, routes())
+        scheduler = coordinator.pools["model/0"].scheduler
+        asked = request(coordinator, "x", tokens=5000)
+        decision = await coordinator.place(asked, "model/0")
         scheduler.ended(asked.call, Outcome.SILENT, asyncio.get_running_loop().time())
-        old = desk.endpoints[decision.endpoint]
-        gone = restart(desk, table, "e-0", 2000)
+        old = coordinator.endpoints[decision.endpoint]
+        gone = restart(coordinator, table, "e-0", 2000)
         (load,) = scheduler.loads.values()
-        desk.report_active()
+        coordinator.report_active()
         assert gone == [old]
-        assert desk.is_over(old)
-        assert not desk.is_over(load.endpoint)
-        assert desk.kept_at(asked.prompt) not in scheduler.loads
+        assert coordinator.is_superseded(old)
+        assert not coordinator.is_superseded(load.endpoint)
+        assert coordinator.cached_at(asked.prompt) not in scheduler.loads
         return (
             load.prefixes.kept(asked.prompt),
             len(load.active),
@@ -439,11 +445,13 @@
     async def work():
         table = EndpointTable()
         table.put(endpoint("e-0", incarnation=1000))
-        desk = Desk(FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0)
-        desk.refresh(table, routes())
-        decision = await desk.place(request(desk, "x"), "model/0")
-        restart(desk, table, "e-0", 2000)
-        return desk.endpoints.get(decision.endpoint)
+        coordinator = SchedulingCoordinator(
+            FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0
+        )
+        coordinator.refresh(table, routes())
+        decision = await coordinator.place(request(coordinator, "x"), "model/0")
+        restart(coordinator, table, "e-0", 2000)
+        return coordinator.endpoints.get(decision.endpoint)
 
     assert play(work) is None
 
@@ -452,9 +460,11 @@
     async def work():
         table = EndpointTable()
         table.put(endpoint("e-0"))
-        desk = Desk(FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0)
-        desk.refresh(table, structs.replace(routes(), throughput=0.0))
-        return await desk.place(request(desk, "x"), "model/0")
+        coordinator = SchedulingCoordinator(
+            FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0
+        )
+        coordinator.refresh(table, structs.replace(routes(), throughput=0.0))
+        return await coordinator.place(request(coordinator, "x"), "model/0")
 
     assert isinstance(play(work), Granted)
 
@@ -464,21 +474,25 @@
     table = EndpointTable()
     for place in ("north", "south"):
         table.put(endpoint(f"e-{place}", data_centre=place))
-    desk = Desk(FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0, lambda: Basis("a", 9))
-    desk.refresh(table, routes(), evacuated)
-    return desk, table
+    coordinator = SchedulingCoordinator(
+        FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0, lambda: Basis("a", 9)
+    )
+    coordinator.refresh(table, routes(), evacuated)
+    return coordinator, table
 
 
 def test_an_evacuated_data_centre_gets_nothing():
     async def work():
-        desk, table = two_data_centre_coordinator({"north"})
+        coordinator, table = two_data_centre_coordinator({"north"})
         decisions = [
-            await desk.place_in_any(request(desk, str(number)), "model")
+            await coordinator.place_with_fallback(
+                request(coordinator, str(number)), "model"
+            )
             for number in range(2)
         ]
         before = {decision.endpoint for decision in decisions}
-        desk.refresh(table, routes())
-        return before, set(desk.pools["model/0"].scheduler.loads)
+        coordinator.refresh(table, routes())
+        return before, set(coordinator.pools["model/0"].scheduler.loads)
 
     assert play(work) == ({"e-south"}, {"e-north", "e-south"})
 
@@ -489,19 +503,21 @@
         for number in range(4 * MAX_POOL_SIZE):
             place = ("north", "south", "east")[number % 3]
             table.put(endpoint(f"e-{number}", data_centre=place))
-        desk = Desk(FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0)
+        coordinator = SchedulingCoordinator(
+            FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0
+        )
 
         def places():
             return {
                 name: pool
-                for pool, item in desk.pools.items()
+                for pool, item in coordinator.pools.items()
                 for name, load in item.scheduler.loads.items()
                 if load.endpoint.data_centre != "north"
             }
 
-        desk.refresh(table, routes())
+        coordinator.refresh(table, routes())
         before = places()
-        desk.refresh(table, routes(), {"north"})
+        coordinator.refresh(table, routes(), {"north"})
         return before == places()
 
     assert play(work)
@@ -509,11 +525,11 @@
 
 def test_a_service_whose_data_centres_are_all_evacuated_is_refused_at_once():
     async def work():
-        desk, _ = two_data_centre_coordinator({"north", "south"})
-        return await desk.place_in_any(request(desk, "x"), "model")
+        coordinator, _ = two_data_centre_coordinator({"north", "south"})
+        return await coordinator.place_with_fallback(request(coordinator, "x"), "model")
 
     decision = play(work)
-    assert isinstance(decision, TurnedAway)
+    assert isinstance(decision, Rejected)
     assert decision.retry_after > 0
 
 
@@ -521,10 +537,10 @@
     """Return why a grant of a router that has read up to `offset` is not used."""
 
     async def work():
-        desk, _ = two_data_centre_coordinator(evacuated)
+        coordinator, _ = two_data_centre_coordinator(evacuated)
         granted = Granted("a.1.1", "e-north", basis=Basis("b", offset))
         fields = {"data_centre": "north", **endpoint_fields}
-        return desk.find_bar(endpoint("e-north", **fields), granted)
+        return coordinator.find_block_reason(endpoint("e-north", **fields), granted)
 
     return play(work)
 
@@ -533,10 +549,10 @@
     ("fields", "offset", "evacuated", "expected"),
     [
         ({}, 0, (), None),
-        ({"leaving": True}, 9, (), Bar.LEAVING),
-        ({}, 9, ("north",), Bar.EVACUATED),
+        ({"leaving": True}, 9, (), BlockReason.LEAVING),
+        ({}, 9, ("north",), BlockReason.EVACUATED),
         ({}, 9, ("south",), None),
-        ({"warm_at": math.inf}, 8, (), Bar.WARMING),
+        ({"warm_at": math.inf}, 8, (), BlockReason.WARMING),
         ({"warm_at": math.inf}, 9, (), None),
     ],
 )
@@ -547,32 +563,34 @@
 
 
 def test_a_new_leader_waits_before_it_grants_endpoints_that_warm_up():
-    desk = PoolState("model/0", Scheduler(4.0))
-    desk.set_leading(False, 10.0)
-    assert desk.scheduler.warm_up_allowed_from == math.inf
-    desk.set_leading(True, 20.0)
-    assert desk.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
-    desk.set_leading(True, 30.0)
-    assert desk.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
+    coordinator = PoolState("model/0", Scheduler(4.0))
+    coordinator.set_leading(False, 10.0)
+    assert coordinator.scheduler.warm_up_allowed_from == math.inf
+    coordinator.set_leading(True, 20.0)
+    assert coordinator.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
+    coordinator.set_leading(True, 30.0)
+    assert coordinator.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
 
 
 def test_requests_kept_to_data_centres_go_to_pools_that_have_them():
     async def work():
-        desk, _ = two_data_centre_coordinator()
-        south = desk.weights_for("model", {"south"})
-        return south, desk.weights_for("model", {"east"})
+        coordinator, _ = two_data_centre_coordinator()
+        south = coordinator.weights_for("model", {"south"})
+        return south, coordinator.weights_for("model", {"east"})
 
     assert play(work) == ({"model/0": 4}, {})
 
 
 def test_a_change_of_the_number_of_pools_is_logged_once():
     async def work():
-        desk = Desk(FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0)
+        coordinator = SchedulingCoordinator(
+            FakeFleet(SimulatedNetwork(), "a", ["a"]), 4.0
+        )
         for count in (MAX_POOL_SIZE, MAX_POOL_SIZE, MAX_POOL_SIZE + 1):
             table = EndpointTable()
             for number in range(count):
                 table.put(endpoint(f"e-{number}"))
-            desk.refresh(table, routes())
+            coordinator.refresh(table, routes())
 
     with logbook.TestHandler() as handler:
         play(work)
@@ -620,24 +638,24 @@
     async def work():
         made = coordinators(SimulatedNetwork(), ["a", "b"], endpoints=before)
         for number in range(MAX_POOL_SIZE):
-            desk = made["ab"[number % 2]]
-            pools = sorted(desk.weights["model"])
+            coordinator = made["ab"[number % 2]]
+            pools = sorted(coordinator.weights["model"])
             pool = pools[number // 2 % len(pools)]
-            await desk.place(request(desk, number), pool)
-        for desk in made.values():
-            desk.refresh(table_of(after), routes())
-        await asyncio.sleep(HOLDING_INTERVAL)
-        for desk in made.values():
-            desk.look_around()
-        await asyncio.sleep(HOLDING_INTERVAL)
+            await coordinator.place(request(coordinator, number), pool)
+        for coordinator in made.values():
+            coordinator.refresh(table_of(after), routes())
+        await asyncio.sleep(ACTIVE_REPORT_INTERVAL)
+        for coordinator in made.values():
+            coordinator.run_periodic_tasks()
+        await asyncio.sleep(ACTIVE_REPORT_INTERVAL)
         held = Counter()
         known = Counter()
-        for desk in made.values():
-            places = (placed.endpoint for placed in desk.placed.values())
-            held.update(place for place in places if place in desk.endpoints)
-            for pool in desk.weights["model"]:
-                if desk.decides_for(pool):
-                    loads = desk.pools[pool].scheduler.loads
+        for coordinator in made.values():
+            places = (placed.endpoint for placed in coordinator.placed.values())
+            held.update(place for place in places if place in coordinator.endpoints)
+            for pool in coordinator.weights["model"]:
+                if coordinator.decides_for(pool):
+                    loads = coordinator.pools[pool].scheduler.loads
                     known.update({x: len(load.active) for x, load in loads.items()})
         return held, +known
 
@@ -651,19 +669,21 @@
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c"], endpoints=2 * MAX_POOL_SIZE)
         first = made["a"].fleet.responsible("model/1")
-        asking = next(desk for name, desk in made.items() if name != first)
+        asking = next(
+            coordinator for name, coordinator in made.items() if name != first
+        )
         fewer = EndpointTable()
         fewer.put(endpoint("e-0"))
         made[first].refresh(fewer, routes())
         answered = []
-        for name, desk in made.items():
-            take = desk.take
+        for name, coordinator in made.items():
+            take = coordinator.take
 
             def note(datagram, name=name, take=take):
                 answered.append((datagram.sender, name))
                 take(datagram)
 
-            desk.take = note
+            coordinator.take = note
         asked = asyncio.ensure_future(asking.place(request(asking, "x"), "model/1"))
         await asyncio.sleep(OFFER_RETRY_INTERVALS[0] / 2)
         asked.cancel()
@@ -686,7 +706,7 @@
         decided = []
         for number in range(12):
             wanted = request(asking, number)
-            decided.append(await asking.place_in_any(wanted, "model"))
+            decided.append(await asking.place_with_fallback(wanted, "model"))
         alone = {item.basis.decider for item in decided} - deciding
         return decided, alone, asking.fleet.suspects.until
 
@@ -703,7 +723,9 @@
             SimulatedNetwork(), names, endpoints=MAX_POOL_SIZE + 1, slots=1
         )
         first = made["a"].fleet.leader("model/1")
-        asking = next(desk for name, desk in made.items() if name != first)
+        asking = next(
+            coordinator for name, coordinator in made.items() if name != first
+        )
         scheduler = made[first].pools["model/1"].scheduler
         waiting = [
             asyncio.ensure_future(asking.place(request(asking, number), "model/1"))
@@ -727,15 +749,17 @@
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=MAX_POOL_SIZE + 1)
         network.cut = {"a", "b"}
-        desk = made["a"]
+        coordinator = made["a"]
         waiting = [
-            asyncio.ensure_future(desk.place(request(desk, number), "model/1"))
+            asyncio.ensure_future(
+                coordinator.place(request(coordinator, number), "model/1")
+            )
             for number in range(3)
         ]
         await asyncio.sleep(0)
-        desk.refresh(table_of(MAX_POOL_SIZE), routes())
+        coordinator.refresh(table_of(MAX_POOL_SIZE), routes())
         return [await item for item in waiting]
 
     for decision in simulate(work):
-        assert isinstance(decision, TurnedAway | Granted)
-        assert not isinstance(decision, TurnedAway) or decision.reason == UNKNOWN_POOL
+        assert isinstance(decision, Rejected | Granted)
+        assert not isinstance(decision, Rejected) or decision.reason == UNKNOWN_POOL
--- a/tests/coordination/scheduling/test_division.py
+++ b/tests/coordination/scheduling/test_division.py
@@ -11,8 +11,8 @@
 from carawayfold.coordination.scheduling.division import (
     MAX_POOL_SIZE,
     PoolAssignment,
-    choose,
-    choose_further,
+    choose_fallback_pool,
+    choose_pool,
 )
 from carawayfold.state.ids import PoolId
 from tests.schedule_builders import endpoint
@@ -67,37 +67,39 @@
 
 def test_pools_get_requests_in_proportion_to_their_weights():
     weights = {PoolId("model/0"): 100, PoolId("model/1"): 300}
-    chosen = Counter(choose(weights, f"p-{number}") for number in range(4000))
+    chosen = Counter(choose_pool(weights, f"p-{number}") for number in range(4000))
     assert 0.70 < chosen[PoolId("model/1")] / 4000 < 0.80
 
 
 def test_a_pool_without_endpoints_gets_nothing():
     weights = {PoolId("model/0"): 0, PoolId("model/1"): 8}
-    assert {choose(weights, f"p-{number}") for number in range(200)} == {"model/1"}
+    assert {choose_pool(weights, f"p-{number}") for number in range(200)} == {"model/1"}
 
 
 def test_a_change_of_weights_leaves_most_prefixes_where_they_are():
     before = {PoolId(f"model/{number}"): 160 for number in range(5)}
     after = {**before, PoolId("model/2"): 150}
     prefixes = [f"p-{number}" for number in range(2000)]
-    moved = sum(choose(before, item) != choose(after, item) for item in prefixes)
+    moved = sum(
+        choose_pool(before, item) != choose_pool(after, item) for item in prefixes
+    )
     assert moved < 60
 
 
 def test_a_further_pool_is_one_that_was_not_asked():
     weights = {f"model/{number}": 2 for number in range(3)}
-    first = choose(weights, "topic")
-    second = choose_further(weights, [first], "r.1.1")
-    third = choose_further(weights, [first, second], "r.1.1")
+    first = choose_pool(weights, "topic")
+    second = choose_fallback_pool(weights, [first], "r.1.1")
+    third = choose_fallback_pool(weights, [first, second], "r.1.1")
     assert {first, second, third} == weights.keys()
-    assert choose_further(weights, list(weights), "r.1.1") is None
+    assert choose_fallback_pool(weights, list(weights), "r.1.1") is None
 
 
 def test_requests_of_one_prefix_spread_over_all_further_pools():
     weights = {f"model/{number}": 2 for number in range(5)}
-    first = choose(weights, "topic")
+    first = choose_pool(weights, "topic")
     drawn = Counter(
-        choose_further(weights, [first], f"r.1.{number}") for number in range(400)
+        choose_fallback_pool(weights, [first], f"r.1.{number}") for number in range(400)
     )
     assert drawn.keys() == weights.keys() - {first}
     assert min(drawn.values()) > 60
--- a/tests/coordination/scheduling/test_held_back.py
+++ b/tests/coordination/scheduling/test_held_back.py
@@ -8,7 +8,7 @@
     ADMISSION_DURATION,
     AdmissionControl,
 )
-from carawayfold.coordination.scheduling.offers import Granted, Outcome, TurnedAway
+from carawayfold.coordination.scheduling.offers import Granted, Outcome, Rejected
 from carawayfold.coordination.scheduling.scheduler import FULL_DURATION
 from carawayfold.state.usage import HEADROOM, LEAST_ADMITTED
 from tests.schedule_builders import offer, scheduler
@@ -23,7 +23,7 @@
 def limited(part, retry_after=1.0, now=0.0, **other):
     """Return the admission control of a router after a rejection with such a limit."""
     held = AdmissionControl()
-    answer = TurnedAway("r.1.x", "late", retry_after, admitted_fraction=part)
+    answer = Rejected("r.1.x", "late", retry_after, admitted_fraction=part)
     held.record_decision(offer("r.1.x", **other), POOL, answer, "decider", now)
     return held
 
--- a/tests/coordination/scheduling/test_scheduler.py
+++ b/tests/coordination/scheduling/test_scheduler.py
@@ -7,7 +7,7 @@
 import pytest
 
 from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
-from carawayfold.coordination.scheduling.offers import Granted, Outcome, TurnedAway
+from carawayfold.coordination.scheduling.offers import Granted, Outcome, Rejected
 from carawayfold.coordination.scheduling.scheduler import (
     QUEUE_HEAD_LENGTH,
     REVIEW_INTERVAL,
@@ -29,7 +29,7 @@
 
 
 def rejected(decisions):
-    return {item.call: item for item in decisions if isinstance(item, TurnedAway)}
+    return {item.call: item for item in decisions if isinstance(item, Rejected)}
 
 
 def test_an_idle_engine_gets_a_request_at_once():
@@ -238,7 +238,7 @@
 
 def test_a_new_scheduler_uses_the_prefix_hints_of_routers():
     pool = scheduler(endpoints=3)
-    hint = offer(now=1.0, tokens=5000, kept_at="e-2")
+    hint = offer(now=1.0, tokens=5000, cached_at="e-2")
     assert granted(decide(pool, 1.0, hint)) == {"r.0.1": "e-2"}
 
 
@@ -395,14 +395,14 @@
     item = offer(tokens=5000, now=1.0, allowed=frozenset({"south"}))
     made.offer(item, 1.0)
     (decision,) = made.decide(1.0)
-    assert (decision.endpoint, decision.donor) == ("south", None)
+    assert (decision.endpoint, decision.copy_source) == ("south", None)
 
 
 def test_a_request_that_is_allowed_nowhere_is_refused_at_once():
     made = two_data_centres()
     made.offer(offer(now=1.0, allowed=frozenset({"east"})), 1.0)
     (decision,) = made.decide(1.0)
-    assert isinstance(decision, TurnedAway)
+    assert isinstance(decision, Rejected)
 
 
 def application_request(call, now, place="north"):
--- a/tests/coordination/scheduling/test_slow_start.py
+++ b/tests/coordination/scheduling/test_slow_start.py
@@ -13,7 +13,7 @@
 from msgspec import structs
 
 from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
-from carawayfold.coordination.scheduling.offers import Granted, Outcome, TurnedAway
+from carawayfold.coordination.scheduling.offers import Granted, Outcome, Rejected
 from carawayfold.coordination.scheduling.scheduler import PoolPlan, Scheduler
 from tests.schedule_builders import WINDOW, endpoint, offer
 
@@ -112,7 +112,7 @@
         made.offer(offer(call, f"t-{number}", 10, 10, now=1.0, due=1.3), 1.0)
     decisions = made.decide(1.0)
     assert sum(isinstance(item, Granted) for item in decisions) == 1
-    assert sum(isinstance(item, TurnedAway) for item in decisions) > 10
+    assert sum(isinstance(item, Rejected) for item in decisions) > 10
 
 
 def test_an_endpoint_reported_as_warming_is_suspended():
--- a/tests/protocol/test_datagrams.py
+++ b/tests/protocol/test_datagrams.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from carawayfold.protocol.datagrams import (
+    ActiveRequestReport,
+    ActiveRequestsMessage,
+    AttemptEndedMessage,
     Beat,
     Datagram,
-    EndedMessage,
     GrantMessage,
-    Held,
-    HoldingMessage,
     HubEntry,
     OfferMessage,
     RosterMessage,
@@ -26,8 +26,8 @@
     Beat("north", False, 3, 7, 120),
     OfferMessage("model/0", "r.0.1", "alder", "summary", 1, [("p", 9)], 9, 4, 80, 900),
     GrantMessage("r.0.1", "e-1", None, 7, 12),
-    EndedMessage("model/0", "r.0.1", "whole"),
-    HoldingMessage("model/0", [Held("r.0.1", "e-1", 3, 9, True)]),
+    AttemptEndedMessage("model/0", "r.0.1", "whole"),
+    ActiveRequestsMessage("model/0", [ActiveRequestReport("r.0.1", "e-1", 3, 9, True)]),
     RosterMessage("north", [HubEntry("router-1", "127.0.0.1", 7400, 1, 100)]),
     VerdictMessage("c", "alder", "rested", 5, 10, 20, 30, ["e-1"]),
 ]
--- a/tests/simulated_deciders.py
+++ b/tests/simulated_deciders.py
@@ -16,9 +16,13 @@
 from dataclasses import dataclass, field, replace
 from unittest.mock import patch
 
+from carawayfold.coordination.scheduling.coordinator import (
+    ACTIVE_REPORT_INTERVAL,
+    SchedulingCoordinator,
+)
+
 from benchmarks.fair_parts import least_part
-from carawayfold.coordination.scheduling import desk as desk_module
-from carawayfold.coordination.scheduling.desk import HOLDING_INTERVAL, Desk
+from carawayfold.coordination.scheduling import coordinator as desk_module
 from carawayfold.coordination.scheduling.offers import Granted, Offer, Outcome
 from carawayfold.coordination.scheduling.scheduler import Scheduler
 from carawayfold.gateway import PRESSURE_INTERVAL
@@ -171,11 +175,11 @@
     def __init__(self, fleet, table, processor):
         self.clock = Clock(CORE_PARTS[processor])
         ChargedScheduler.clocks.append(self.clock)
-        self.desk = Desk(fleet, 4.0)
+        self.coordinator = SchedulingCoordinator(fleet, 4.0)
         self.fleet = fleet
         self.pressure = PressureGauge()
-        self.desk.loop = self.clock
-        self.desk.tallies.loop = self.clock
+        self.coordinator.loop = self.clock
+        self.coordinator.decision_statistics.loop = self.clock
         self.routes = RouteTable(
             1,
             (),
@@ -189,24 +193,24 @@
 
     def relist(self, table):
         """Take another list of the engines."""
-        self.desk.refresh(table, self.routes)
+        self.coordinator.refresh(table, self.routes)
 
     def take(self, datagram):
         self.clock.submit(self.take_now, datagram)
 
     def take_now(self, datagram):
         self.clock.charge(TAKE)
-        self.desk.take(datagram)
+        self.coordinator.take(datagram)
 
     def fleet_changed(self):
-        self.clock.submit(self.desk.fleet_changed)
+        self.clock.submit(self.coordinator.fleet_changed)
 
     async def keep_looking(self):
         for number in itertools.count():
             await asyncio.sleep(PRESSURE_INTERVAL)
             self.clock.submit(self.measure, self.clock.loop.time())
-            if number % round(HOLDING_INTERVAL / PRESSURE_INTERVAL) == 0:
-                self.clock.submit(self.desk.look_around)
+            if number % round(ACTIVE_REPORT_INTERVAL / PRESSURE_INTERVAL) == 0:
+                self.clock.submit(self.coordinator.run_periodic_tasks)
 
     def measure(self, due):
         now = self.clock.loop.time()
@@ -383,16 +387,18 @@
         try:
             async with asyncio.timeout_at(arrived + PATIENCE):
                 for _ in range(ATTEMPTS):
-                    decision = await router.desk.place_in_any(offer, SERVICE)
+                    decision = await router.coordinator.place_with_fallback(
+                        offer, SERVICE
+                    )
                     if not isinstance(decision, Granted):
                         break
                     if await self._run(flood, router, decision, offer):
                         return
                     offer = replace(
                         offer,
-                        call=router.desk.next_call(),
+                        call=router.coordinator.next_call(),
                         avoid=offer.avoid | {decision.endpoint},
-                        kept_at=None,
+                        cached_at=None,
                     )
                 played.refused[self._second()] += 1
         except TimeoutError:
@@ -409,7 +415,7 @@
         own = f"{flood.name}.{number}"
         prompt = (Part(prefix, shared), Part(own, flood.tokens - shared))
         return Offer(
-            call=router.desk.next_call(),
+            call=router.coordinator.next_call(),
             router=name,
             data_centre=self.fleet.places[name],
             organisation=flood.name,
@@ -421,13 +427,15 @@
             arrived=router.clock.time(),
             due=arrived + OBJECTIVE,
             expires=arrived + PATIENCE,
-            kept_at=router.desk.kept_at(prompt),
+            cached_at=router.coordinator.cached_at(prompt),
         )
 
     async def _run(self, flood, router, decision, offer):
         """Return whether a request began at the engine that it was granted."""
-        own = router.desk.fleet.own.router
-        led = router.desk.fleet.leader(router.desk.placed[decision.call].pool)
+        own = router.coordinator.fleet.own.router
+        led = router.coordinator.fleet.leader(
+            router.coordinator.placed[decision.call].pool
+        )
         alone = decision.basis.decider == own != led
         counter = self.played.alone if alone else self.played.central
         counter[self._second()] += 1
@@ -448,12 +456,12 @@
                 self.played.got[flood.name][self._second()] += tokens
                 self.played.in_time[flood.name] += self.loop.time() <= offer.due
                 waited = self.loop.time() - sent
-                router.clock.submit(router.desk.begun, decision.call, waited)
+                router.clock.submit(router.coordinator.begun, decision.call, waited)
                 stayed = await engine.stays(RESIDENCE * self.draw.uniform(0.5, 1.5))
             outcome = Outcome.WHOLE if stayed else Outcome.FAILED
             return True
         finally:
-            router.clock.submit(router.desk.ended, decision.call, outcome)
+            router.clock.submit(router.coordinator.ended, decision.call, outcome)
 
 
 def floods(load=4.8, weak=False):
--- a/tests/simulated_notices.py
+++ b/tests/simulated_notices.py
@@ -81,7 +81,7 @@
         """Nothing here depends on who decides."""
 
     async def keep_looking(self):
-        await self.notices.keep_telling()
+        await self.notices.report_periodically()
 
     def obeys(self, name):
         return self.knowledge.endpoints.entries[name].leaving
--- a/tests/simulated_pools.py
+++ b/tests/simulated_pools.py
@@ -6,8 +6,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from carawayfold.coordination.scheduling.desk import FURTHER_POOLS
-from carawayfold.coordination.scheduling.division import choose, choose_further
+from carawayfold.coordination.scheduling.desk import MAX_FALLBACK_POOLS
+from carawayfold.coordination.scheduling.division import (
+    choose_fallback_pool,
+    choose_pool,
+)
 from carawayfold.coordination.scheduling.offers import Granted, Outcome
 from tests.schedule_builders import offer, scheduler
 
@@ -41,7 +44,7 @@
 
     prefixes: dict[str, int]
     pools: int = 4
-    further: int = FURTHER_POOLS
+    further: int = MAX_FALLBACK_POOLS
     in_round: int = IN_ROUND
     got: Counter = field(default_factory=Counter)
     offers: int = 0
@@ -60,7 +63,7 @@
             now = 1.0 + number * INTERVAL
             for name, count in self.prefixes.items():
                 for wants in self._offers_of(name, count, now, number * self.in_round):
-                    pool = choose(self.weights, wants.prompt[0].id)
+                    pool = choose_pool(self.weights, wants.prompt[0].id)
                     self._offer(wants, pool, now)
             for name, pool in self.made.items():
                 for decision in pool.decide(now):
@@ -96,7 +99,7 @@
             self.made[name].begun(decision.call, 0.03)
             self.made[name].ended(decision.call, Outcome.WHOLE, now)
             return
-        further = choose_further(self.weights, asked, decision.call)
+        further = choose_fallback_pool(self.weights, asked, decision.call)
         if further is not None and len(asked) <= self.further:
             self._offer(wants, further, now)
 
