--- a/benchmarks/capacity/inside.py
+++ b/benchmarks/capacity/inside.py
@@ -143,18 +143,18 @@
 
 def row_slopes() -> list[Slope]:
     """Measure the frames and the memory of service rows."""
-    from carawayfold.coordination.slots.service_book import ServiceBook
+    from carawayfold.coordination.slots.service_book import ServiceAccounts
 
     first, later, memory, heard, tidy = [], [], [], [], []
     for count in ORGANISATIONS:
         rows = OwnRows(lambda: 0.0)
-        book = ServiceBook(RouterId("router"), rows, lambda _: 1.0)
+        book = ServiceAccounts(RouterId("router"), rows, lambda _: 1.0)
 
         def change(count: int = count, rows: OwnRows = rows) -> None:
             for number in range(count):
                 rows.change("model", name_of(number), 1, 12345.0, 1)
 
-        def fill(book: ServiceBook = book, change: Callable = change) -> None:
+        def fill(book: ServiceAccounts = book, change: Callable = change) -> None:
             change()
             book.enter_own()
 
@@ -165,7 +165,7 @@
             frame = peer_pb2.Frame()
             book.write(frame, names, cursor)
             sizes.append(float(frame.ByteSize()))
-        peer = ServiceBook(RouterId("other"), OwnRows(lambda: 0.0), lambda _: 1.0)
+        peer = ServiceAccounts(RouterId("other"), OwnRows(lambda: 0.0), lambda _: 1.0)
         names, cursor = NameTable(), RowCursor()
         frame = peer_pb2.Frame()
         book.write(frame, names, cursor)
@@ -173,7 +173,7 @@
         peer.read(RouterId("first"), frame.rows[0], names, True)
 
         def hear(
-            peer: ServiceBook = peer,
+            peer: ServiceAccounts = peer,
             frame: peer_pb2.Frame = frame,
             names: NameTable = names,
         ) -> None:
--- a/carawayfold/application.py
+++ b/carawayfold/application.py
@@ -16,7 +16,7 @@
 from carawayfold.coordination.containment.containment import Containment
 from carawayfold.coordination.containment.pulse import Pulse
 from carawayfold.coordination.fleet.membership import (
-    SILENCE_LIMIT,
+    MIN_SILENCE_TIMEOUT,
     Member,
     Membership,
     PeerState,
@@ -32,9 +32,9 @@
 from carawayfold.coordination.requests.claims import Claims
 from carawayfold.coordination.slots.dispatch import Dispatcher
 from carawayfold.coordination.slots.exchange import Exchange
-from carawayfold.coordination.slots.health import HealthBook
+from carawayfold.coordination.slots.health import EndpointHealthTracker
 from carawayfold.coordination.slots.link_fleet import LinkFleet
-from carawayfold.coordination.slots.loads import LoadWatcher
+from carawayfold.coordination.slots.loads import LoadPoller
 from carawayfold.coordination.slots.pools import build_pools
 from carawayfold.errors import ErrorKind, Refusal
 from carawayfold.protocol import peer_pb2, peer_pb2_grpc, problem
@@ -128,11 +128,11 @@
         self.membership = Membership(
             own,
             self.clock,
-            max(SILENCE_LIMIT, MISSED_HEARTBEATS_LIMIT * settings.exchange),
+            max(MIN_SILENCE_TIMEOUT, MISSED_HEARTBEATS_LIMIT * settings.exchange),
         )
         self.rows = OwnRows(self.clock)
         self.metrics = Metrics()
-        self.health = HealthBook(self.clock)
+        self.health = EndpointHealthTracker(self.clock)
         self.config_log = LogClient(self.http, settings.log, CONFIG_STREAM)
         self.follower = ConfigFollower(
             self.config_log,
@@ -208,7 +208,7 @@
             self._spawn(self._watch_instances())
             self._spawn(self._send_heartbeats())
             self._spawn(self.containment.keep_looking())
-            self._spawn(LoadWatcher(self.http, self.view, self.exchange).watch())
+            self._spawn(LoadPoller(self.http, self.view, self.exchange).poll())
             for seed in self.settings.seeds:
                 self._spawn(self._request_hand_over(seed))
             logger.info("router started", extra={"router": self.settings.router})
@@ -268,7 +268,7 @@
             return
         own.state = PeerState.STOPPING
         self.calls.stopping = True
-        self.exchange.beat()
+        self.exchange.send_heartbeats()
         self.exchange.reassign()
         logger.info("router stopping", extra={"calls": len(self.calls.calls)})
         self._spawn(self._finish())
@@ -280,7 +280,7 @@
         while loop.time() < end and (self.calls.calls or loop.time() < notice_end):
             await asyncio.sleep(0.05)
         refusal = Refusal(ErrorKind.STOPPING, "the router had to stop")
-        self.dispatcher.refuse_all(refusal)
+        self.dispatcher.reject_all(refusal)
         await asyncio.sleep(FINAL_RESPONSES_DELAY)
         self.stopped.set()
 
@@ -376,7 +376,7 @@
     async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(self.settings.exchange)
-            self.exchange.beat()
+            self.exchange.send_heartbeats()
 
     # HTTP requests
 
--- a/carawayfold/coordination/backoff.py
+++ b/carawayfold/coordination/backoff.py
@@ -28,7 +28,7 @@
         """Return to the shortest delay, after a successful call."""
         self.pause = MIN_RETRY_DELAY
 
-    def next_pause(self) -> float:
+    def next_delay(self) -> float:
         """Return the next delay in seconds, and double it up to the limit."""
         pause = self.pause
         self.pause = min(MAX_RETRY_DELAY, 2 * pause)
@@ -36,4 +36,4 @@
 
     async def wait(self) -> None:
         """Sleep for the next delay."""
-        await asyncio.sleep(self.next_pause())
+        await asyncio.sleep(self.next_delay())
--- a/carawayfold/coordination/containment/containment.py
+++ b/carawayfold/coordination/containment/containment.py
@@ -23,8 +23,8 @@
 from carawayfold.coordination.containment.verdict_records import VerdictRecorder
 from carawayfold.errors import ErrorKind, Refusal
 from carawayfold.protocol.datagrams import (
-    Beat,
     CrashMessage,
+    Heartbeat,
     LostMessage,
     RanWellMessage,
     VerdictMessage,
@@ -299,7 +299,7 @@
         """Handle one message; those of other modules are ignored."""
 
     @_handle_message.register
-    def _(self, message: Beat, sender: RouterId) -> None:
+    def _(self, message: Heartbeat, sender: RouterId) -> None:
         if message.verdicts == self.quarantine.checksum:
             return
         now = self.loop.time()
@@ -333,7 +333,7 @@
     def _(self, message: LostMessage, sender: RouterId) -> None:
         if not self._record_lost(message.endpoint):
             return
-        for router in self.fleet.passed_on_to(sender):
+        for router in self.fleet.forward_recipients(sender):
             self.fleet.send(router, message)
 
     @_handle_message.register
@@ -352,7 +352,7 @@
         if message.remembered > 0 and self._accept_verdict(entry, sender):
             self.recorder.write_missing()
             message = self._verdict_message(entry)
-            for router in self.fleet.passed_on_to(sender):
+            for router in self.fleet.forward_recipients(sender):
                 self.fleet.send(router, message)
 
     # Verdicts
--- a/carawayfold/coordination/fleet/directory.py
+++ b/carawayfold/coordination/fleet/directory.py
@@ -70,7 +70,7 @@
             continue
         backoff.reset()
         entries = [item for item in page.items if isinstance(item, PeerEntry)]
-        fleet.learn(entries)
+        fleet.add_entries(entries)
         on_quarantine_records(
             [x for x in page.items if isinstance(x, QuarantineRecord)]
         )
--- a/carawayfold/coordination/fleet/fleet.py
+++ b/carawayfold/coordination/fleet/fleet.py
@@ -12,7 +12,7 @@
 
 from carawayfold.coordination.fleet.hubs import (
     LEAF_HEARTBEAT_INTERVAL,
-    MESH_MOST,
+    MAX_MESH_ROUTERS,
     Role,
     choose_hubs,
     hubs_checksum,
@@ -29,7 +29,7 @@
 )
 from carawayfold.coordination.fleet.rosters import HubLists
 from carawayfold.coordination.fleet.suspects import Suspects
-from carawayfold.protocol.datagrams import Beat, RosterMessage
+from carawayfold.protocol.datagrams import Heartbeat, HubListMessage
 from carawayfold.protocol.sources import PeerEntry
 from carawayfold.settings import Address
 
@@ -97,7 +97,7 @@
         self,
         socket: PeerSocket,
         own: Member,
-        make_heartbeat: Callable[[], Beat],
+        make_heartbeat: Callable[[], Heartbeat],
         on_change: Callable[[], None],
     ) -> None:
         self.socket = socket
@@ -110,8 +110,8 @@
         )
         self.addresses: dict[RouterId, Address] = {}
         self.entries: dict[RouterId, PeerEntry] = {}
-        self.beats: dict[RouterId, Beat] = {}
-        self.beaten_at: dict[RouterId, float] = {}
+        self.heartbeats: dict[RouterId, Heartbeat] = {}
+        self.heartbeat_times: dict[RouterId, float] = {}
         #: Leader of each subject; cleared when the members change.
         self.leaders: dict[str, RouterId] = {}
         #: Responsible router of each subject; cleared when members or suspects change.
@@ -138,17 +138,17 @@
     @property
     def size(self) -> int:
         """Return the number of routers in the fleet, including silent ones."""
-        reported = (heartbeat.size for heartbeat in self.beats.values())
+        reported = (heartbeat.size for heartbeat in self.heartbeats.values())
         return max(len(self.addresses) + 1, *reported, 1)
 
     @property
-    def counted(self) -> int | None:
+    def known_size(self) -> int | None:
         """Return the number of routers in the fleet, None while it is unknown.
 
         It is unknown until this router has read the entries or received a heartbeat:
         the fleet may be large.
         """
-        reported = any(heartbeat.size for heartbeat in self.beats.values())
+        reported = any(heartbeat.size for heartbeat in self.heartbeats.values())
         return self.size if reported or self.listed.is_set() else None
 
     def live(self) -> list[Member]:
@@ -159,7 +159,7 @@
         """Return the live hubs, the routers that may lead pools."""
         return [item for item in self.live() if item.hub]
 
-    def near(self, data_centre: DataCentreId) -> list[Member]:
+    def members_in(self, data_centre: DataCentreId) -> list[Member]:
         """Return the live routers of a data centre."""
         return [item for item in self.live() if item.data_centre == data_centre]
 
@@ -168,14 +168,14 @@
         listed = [member_from_entry(item) for item in self.local_entries()]
         return [item.router for item in choose_hubs([*listed, self.own])]
 
-    def near_hubs(self) -> list[Member]:
+    def local_hubs(self) -> list[Member]:
         """Return the other hubs of this data centre."""
-        local = self.near(self.own.data_centre)
+        local = self.members_in(self.own.data_centre)
         return [item for item in local if item.hub and item is not self.own]
 
     def leaves(self) -> list[Member]:
         """Return the live routers of this data centre that are not hubs."""
-        local = self.near(self.own.data_centre)
+        local = self.members_in(self.own.data_centre)
         return [item for item in local if not item.hub]
 
     def local_entries(self) -> list[PeerEntry]:
@@ -223,15 +223,15 @@
             return leader
         if self.suspects.alone():
             return self.own.router
-        return self.membership.responsible(subject, leaving_out=self.suspects.until)
+        return self.membership.responsible(subject, excluded=self.suspects.until)
 
-    def pick_known(self) -> RouterId:
+    def random_router(self) -> RouterId:
         """Return a random router whose address is known, live or not."""
         return random.choice(list(self.addresses))
 
     # Discovery
 
-    def learn(self, entries: Iterable[PeerEntry]) -> None:
+    def add_entries(self, entries: Iterable[PeerEntry]) -> None:
         """Add entries and send a heartbeat: to new routers in a mesh, else as usual."""
         new = [item for item in entries if self._add_entry(item)]
         if not new:
@@ -263,43 +263,43 @@
         if self.suspects.clear(router):
             self.responsible_routers.clear()
         for message in datagram.messages:
-            if type(message) is Beat:
+            if type(message) is Heartbeat:
                 self._take_heartbeat(router, datagram.incarnation, message)
-            elif type(message) is RosterMessage:
+            elif type(message) is HubListMessage:
                 self.hub_lists.take(router, message)
 
     def _take_heartbeat(
-        self, router: RouterId, incarnation: int, heartbeat: Beat
+        self, router: RouterId, incarnation: int, heartbeat: Heartbeat
     ) -> None:
-        self.beats[router] = heartbeat
-        self.beaten_at[router] = self.loop.time()
+        self.heartbeats[router] = heartbeat
+        self.heartbeat_times[router] = self.loop.time()
         if router not in self.entries:
             self._add_entry_from_heartbeat(router, heartbeat)
         known = self.membership.members.get(router)
-        before = (known.state, known.hub, known.late) if known is not None else None
+        before = (known.state, known.hub, known.lagging) if known is not None else None
         if known is None or known.incarnation != incarnation:
-            self.membership.joined(
+            self.membership.register_member(
                 router, heartbeat.data_centre, incarnation, heartbeat.processor
             )
-        self.membership.heard(router, heartbeat.stopping)
+        self.membership.record_contact(router, heartbeat.stopping)
         member = self.membership.members[router]
         member.hub = heartbeat.hub
-        member.late = heartbeat.late
+        member.lagging = heartbeat.lagging
         # Hubs of other data centres send a leaf one heartbeat, to find its hubs.
         remote = heartbeat.data_centre != self.own.data_centre
         member.from_hub_list = self.role is Role.LEAF and remote
-        if (member.state, member.hub, member.late) != before:
+        if (member.state, member.hub, member.lagging) != before:
             extra = {
                 "router": router,
                 "state": member.state.value,
                 "hub": heartbeat.hub,
-                "late": heartbeat.late,
+                "late": heartbeat.lagging,
             }
             logger.info("router state changed", extra=extra)
             self.schedule_change()
         self.hub_lists.answer(member, heartbeat)
 
-    def _add_entry_from_heartbeat(self, router: RouterId, heartbeat: Beat) -> None:
+    def _add_entry_from_heartbeat(self, router: RouterId, heartbeat: Heartbeat) -> None:
         """Add an entry for a router that started after the entries were read."""
         address = self.addresses[router]
         self.entries[router] = PeerEntry(
@@ -331,7 +331,7 @@
             0, peers - MAX_PEERS_AT_BASE_INTERVAL
         )
 
-    async def keep_beating(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send heartbeats and detect failed peers until cancelled."""
         while True:
             before = self.loop.time()
@@ -364,14 +364,14 @@
 
     def _send_to_hubs(self) -> None:
         """Send a heartbeat to the local hubs, to the primary one with a checksum."""
-        hubs = self.near_hubs()
+        hubs = self.local_hubs()
         primary = primary_hub(self.own.router, hubs)
         names = [hub.router for hub in hubs] + self.hub_lists.take_contacts()
         for name in dict.fromkeys(names):
             checksum = self.known_hubs_checksum if name == primary else 0
             self.socket.broadcast([self.addresses[name]], self.own_heartbeat(checksum))
 
-    def own_heartbeat(self, checksum: int = 0) -> Beat:
+    def own_heartbeat(self, checksum: int = 0) -> Heartbeat:
         """Return the heartbeat to send.
 
         Parameters
@@ -384,15 +384,15 @@
             self.make_heartbeat(),
             hub=self.own.hub,
             size=size,
-            roster=checksum,
-            late=self.own.late,
+            hub_list_checksum=checksum,
+            lagging=self.own.lagging,
         )
 
-    def tell_near(self) -> None:
+    def notify_local_routers(self) -> None:
         """Send a heartbeat at once to the local routers, unless this is a leaf."""
         if self.role is Role.LEAF:
             return
-        local = self.near(self.own.data_centre)
+        local = self.members_in(self.own.data_centre)
         names = [item.router for item in local if item.router in self.addresses]
         self.socket.broadcast(
             [self.addresses[name] for name in names], self.own_heartbeat()
@@ -414,13 +414,13 @@
         if self.role is Role.MESH:
             return list(self.addresses)
         if self.role is Role.LEAF:
-            return [hub.router for hub in self.near_hubs()]
+            return [hub.router for hub in self.local_hubs()]
         if self.role is Role.DETACHED:
             return [entry.router for entry in self.local_entries()]
         members = [*self.hubs(), *self.leaves()]
         return [item.router for item in members if item is not self.own]
 
-    def passed_on_to(self, sender: RouterId) -> list[RouterId]:
+    def forward_recipients(self, sender: RouterId) -> list[RouterId]:
         """Return the routers to forward a message to that `sender` has sent to all.
 
         A hub sends to all hubs and to the leaves of its data centre, a leaf only to its
@@ -457,8 +457,8 @@
             self._record_failure(router, "silent")
 
     def _remove_heartbeat(self, router: RouterId) -> None:
-        self.beats.pop(router, None)
-        self.beaten_at.pop(router, None)
+        self.heartbeats.pop(router, None)
+        self.heartbeat_times.pop(router, None)
 
     def _record_failure(self, router: RouterId, reason: str) -> None:
         self._remove_heartbeat(router)
@@ -470,11 +470,11 @@
         self.suspects.note(router, self.loop.time())
         self.responsible_routers.clear()
 
-    def is_heard_since(self, router: RouterId, since: float) -> bool:
+    def is_seen_since(self, router: RouterId, since: float) -> bool:
         """Return whether a datagram of a router arrived after a loop time."""
         return self.last_contact.get(router, -math.inf) > since
 
-    def doubt(self, router: RouterId) -> None:
+    def confirm_failure(self, router: RouterId) -> None:
         """Consider a router failed after a shorter silence, as another one suspects it.
 
         Called when a router asks this one for a decision in place of the leader.
@@ -523,15 +523,15 @@
     def _next_role(self) -> Role:
         if self.own.state is not PeerState.LIVE:
             return self.role
-        if self.size <= MESH_MOST:
+        if self.size <= MAX_MESH_ROUTERS:
             return Role.MESH
-        local = self.near(self.own.data_centre)
+        local = self.members_in(self.own.data_centre)
         if self.role in (Role.MESH, Role.HUB):
             return role_of_hub(self.own, local, self.role)
         if self.listed_as_hub:
             self.listed_as_hub = False
             return Role.HUB
-        if self.near_hubs():
+        if self.local_hubs():
             return Role.LEAF
         self.detached_heartbeats += 1
         waited = self.detached_heartbeats > DETACHED_HEARTBEATS
@@ -577,19 +577,19 @@
         self.hub_lists.send_to_leaves()
         self.on_change()
 
-    def note_late(self, late: bool) -> None:
+    def set_lagging(self, lagging: bool) -> None:
         """Record whether this router lags behind its work; if so it does not lead."""
         now = self.loop.time()
-        if late:
+        if lagging:
             self.lagging_at = now
-        late = now - self.lagging_at < LAGGING_DURATION
-        if late is self.own.late:
+        lagging = now - self.lagging_at < LAGGING_DURATION
+        if lagging is self.own.lagging:
             return
-        self.own.late = late
-        logger.info("leadership given up" if late else "leadership resumed")
+        self.own.lagging = lagging
+        logger.info("leadership given up" if lagging else "leadership resumed")
         self.schedule_change()
 
-    def stand_in_share(self) -> float:
+    def fallback_share(self) -> float:
         """Return the fraction of each endpoint's capacity that a non-leader may grant.
 
         Other routers may decide in place of the leader at the same time: all hubs if
--- a/carawayfold/coordination/fleet/hubs.py
+++ b/carawayfold/coordination/fleet/hubs.py
@@ -31,7 +31,7 @@
 
 #: Fleet size up to which heartbeats form a full mesh. For 32 routers the interval is
 #: 0.27 s, and each router sends and receives 240 datagrams a second.
-MESH_MOST = 32
+MAX_MESH_ROUTERS = 32
 #: Hubs of a data centre: if two fail at the same time, one is left.
 HUBS_PER_DATA_CENTRE = 3
 #: Seconds between heartbeats of a leaf and the hubs of its data centre. No router
@@ -78,7 +78,7 @@
 
 def hubs_checksum(hubs: Iterable[Member]) -> int:
     """Return a checksum of the hubs, their incarnations and whether they lag."""
-    rows = sorted(f"{item.router}|{item.incarnation}|{item.late:d}" for item in hubs)
+    rows = sorted(f"{item.router}|{item.incarnation}|{item.lagging:d}" for item in hubs)
     return xxhash.xxh32_intdigest("\n".join(rows).encode())
 
 
--- a/carawayfold/coordination/fleet/listeners.py
+++ b/carawayfold/coordination/fleet/listeners.py
@@ -44,7 +44,7 @@
         if fleet.role is Role.MESH:
             return list(fleet.addresses.values())
         if fleet.role is Role.LEAF:
-            names = [item.router for item in fleet.near_hubs()]
+            names = [item.router for item in fleet.local_hubs()]
         elif fleet.role is Role.DETACHED:
             names = [item.router for item in fleet.local_entries()]
         else:
@@ -66,7 +66,7 @@
             names += [item.router for item in responsive if not item.hub]
         with_hub = {item.data_centre for item in self.fleet.hubs()}
         with_hub.add(self.fleet.own.data_centre)
-        names += self._unknown_local_routers(alone=not self.fleet.near_hubs())
+        names += self._unknown_local_routers(alone=not self.fleet.local_hubs())
         names += self.fleet.hub_lists.take_contacts()
         names += self._routers_to_query(with_hub)
         return list(dict.fromkeys(names))
@@ -77,7 +77,9 @@
         One at random, all of them for the only hub. This merges routers of one data
         centre that have formed two groups which do not know each other.
         """
-        live = {item.router for item in self.fleet.near(self.fleet.own.data_centre)}
+        live = {
+            item.router for item in self.fleet.members_in(self.fleet.own.data_centre)
+        }
         listed = [item.router for item in self.fleet.local_entries()]
         unknown = [name for name in listed if name not in live]
         return unknown if alone or not unknown else [random.choice(unknown)]
--- a/carawayfold/coordination/fleet/membership.py
+++ b/carawayfold/coordination/fleet/membership.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable, Container
 
 #: Lower limit of the silence timeout, in seconds.
-SILENCE_LIMIT = 2.0
+MIN_SILENCE_TIMEOUT = 2.0
 #: Candidates for the leader of each of several similar subjects; the candidate that
 #: leads the fewest is chosen. More candidates give a more even distribution, but more
 #: subjects change their leader when a member is removed.
@@ -60,7 +60,7 @@
     processor: int = 100
     hub: bool = True
     from_hub_list: bool = False
-    late: bool = False
+    lagging: bool = False
 
 
 class Membership:
@@ -84,7 +84,7 @@
         self.clock = clock
         self.members: dict[RouterId, Member] = {own.router: own}
 
-    def joined(
+    def register_member(
         self,
         router: RouterId,
         data_centre: DataCentreId,
@@ -105,7 +105,7 @@
         member = self.members.get(router)
         return 0 if member is None else member.incarnation
 
-    def heard(self, router: RouterId, stopping: bool) -> None:
+    def record_contact(self, router: RouterId, stopping: bool) -> None:
         """Record that a heartbeat or frame of a peer arrived."""
         member = self.members[router]
         member.last_seen = self.clock()
@@ -154,7 +154,7 @@
         self,
         subject: str,
         data_centre: str = "",
-        leaving_out: Container[RouterId] = (),
+        excluded: Container[RouterId] = (),
     ) -> RouterId:
         """Return the router responsible for `subject`, by rendezvous hashing.
 
@@ -175,14 +175,14 @@
         RouterId
             The same on every router that knows the same members.
         """
-        return rank(subject, self.leader_candidates(data_centre, leaving_out))[0].router
+        return rank(subject, self.leader_candidates(data_centre, excluded))[0].router
 
     def leader_candidates(
-        self, data_centre: str = "", leaving_out: Container[RouterId] = ()
+        self, data_centre: str = "", excluded: Container[RouterId] = ()
     ) -> list[Member]:
         """Return the routers that `responsible` chooses from."""
         hubs = [member for member in self.live() if member.hub]
-        live = [item for item in hubs if item.router not in leaving_out] or [self.own]
+        live = [item for item in hubs if item.router not in excluded] or [self.own]
         local = [member for member in live if member.data_centre == data_centre]
         return most_powerful(without_lagging(local or live))
 
@@ -209,7 +209,7 @@
 
 def without_lagging(members: list[Member]) -> list[Member]:
     """Return the members that keep up with their work, or all members if none does."""
-    return [member for member in members if not member.late] or members
+    return [member for member in members if not member.lagging] or members
 
 
 def most_powerful(members: list[Member]) -> list[Member]:
--- a/carawayfold/coordination/fleet/readers.py
+++ b/carawayfold/coordination/fleet/readers.py
@@ -20,7 +20,7 @@
     from carawayfold.state.ids import RouterId
 
 #: Fleet size up to which each router reads the store itself.
-ALL_READ = 12
+MAX_ROUTERS_ALL_READ = 12
 #: Readers of a fleet in a single data centre. In a fleet of several data centres each
 #: has one reader, and readers pass on what another one missed.
 READERS_IN_ONLY_DATA_CENTRE = 2
@@ -52,14 +52,14 @@
     age : float
         Seconds since this router knew all records of a topic.
     """
-    if fleet.size <= ALL_READ:
+    if fleet.size <= MAX_ROUTERS_ALL_READ:
         return True
     if not fleet.own.hub:
         limit = (
             LEAF_STALENESS_LIMIT if _has_relaying_hub(fleet) else HUB_STALENESS_LIMIT
         )
         return age > limit + LEAF_JITTER * _jitter_fraction(fleet.own)
-    local = [item for item in fleet.near(fleet.own.data_centre) if item.hub]
+    local = [item for item in fleet.members_in(fleet.own.data_centre) if item.hub]
     answered = [item for item in local if not _is_refused_by_store(fleet, item)]
     data_centres = {item.data_centre for item in fleet.hubs()}
     readers = 1 if len(data_centres) > 1 else READERS_IN_ONLY_DATA_CENTRE
@@ -72,20 +72,20 @@
 
 def _is_refused_by_store(fleet: Fleet, member: Member) -> bool:
     """Return whether a peer reports that the store did not answer its last call."""
-    heartbeat = fleet.beats.get(member.router)
+    heartbeat = fleet.heartbeats.get(member.router)
     return heartbeat is not None and heartbeat.refused
 
 
-def can_tell(fleet: Fleet, router: RouterId) -> bool:
+def can_relay_updates(fleet: Fleet, router: RouterId) -> bool:
     """Return whether a peer is a hub with current knowledge of the store.
 
     Its last heartbeat must be recent, the store must answer it, and its knowledge of
     endpoints and of operators' records must not be stale.
     """
-    heartbeat = fleet.beats.get(router)
+    heartbeat = fleet.heartbeats.get(router)
     if heartbeat is None or heartbeat.refused or not heartbeat.hub:
         return False
-    silence = fleet.loop.time() - fleet.beaten_at[router]
+    silence = fleet.loop.time() - fleet.heartbeat_times[router]
     oldest = max(heartbeat.store_age, heartbeat.operators_age)
     return silence <= HUB_SILENCE_TIMEOUT and oldest <= HUB_STALENESS_LIMIT * 1000
 
@@ -96,8 +96,8 @@
     Without such a hub the leaf must not wait for the longer limit of leaves: endpoints
     that leave meanwhile would receive requests for longer than allowed.
     """
-    hubs = fleet.near_hubs()
-    return not hubs or any(can_tell(fleet, hub.router) for hub in hubs)
+    hubs = fleet.local_hubs()
+    return not hubs or any(can_relay_updates(fleet, hub.router) for hub in hubs)
 
 
 def _jitter_fraction(own: Member) -> float:
--- a/carawayfold/coordination/fleet/rosters.py
+++ b/carawayfold/coordination/fleet/rosters.py
@@ -6,13 +6,13 @@
 
 from carawayfold.coordination.fleet.hubs import Role, choose_hubs, primary_hub
 from carawayfold.coordination.fleet.membership import PeerState
-from carawayfold.protocol.datagrams import HubEntry, RosterMessage
+from carawayfold.protocol.datagrams import HubEntry, HubListMessage
 from carawayfold.settings import Address
 
 if TYPE_CHECKING:
     from carawayfold.coordination.fleet.fleet import Fleet
     from carawayfold.coordination.fleet.membership import Member
-    from carawayfold.protocol.datagrams import Beat
+    from carawayfold.protocol.datagrams import Heartbeat
     from carawayfold.state.ids import DataCentreId, RouterId
 
 #: Seconds at least between two sets of hub lists from one hub to another. Two hubs that
@@ -38,7 +38,7 @@
         #: Loop time at which each hub was last sent the lists.
         self.sent_at: dict[RouterId, float] = {}
 
-    def answer(self, member: Member, heartbeat: Beat) -> None:
+    def answer(self, member: Member, heartbeat: Heartbeat) -> None:
         """Reply to a heartbeat with lists of hubs if the sender lacks them.
 
         A hub replies to leaves of its data centre and to other hubs. A leaf replies to
@@ -48,7 +48,10 @@
             return
         local = member.data_centre == self.fleet.own.data_centre
         if self.fleet.role is Role.HUB and local and not member.hub:
-            outdated = heartbeat.roster not in (0, self.fleet.known_hubs_checksum)
+            outdated = heartbeat.hub_list_checksum not in (
+                0,
+                self.fleet.known_hubs_checksum,
+            )
             if outdated or member in self.promotions:
                 self._send(member.router)
         elif self.fleet.role is Role.HUB and member.hub:
@@ -56,16 +59,19 @@
         elif self.fleet.role is Role.LEAF and not local and member.hub:
             self._send(member.router, self.fleet.own.data_centre)
 
-    def _send_missing(self, hub: Member, heartbeat: Beat) -> None:
+    def _send_missing(self, hub: Member, heartbeat: Heartbeat) -> None:
         """Send the lists to a hub that knows other hubs than this router does."""
         now = self.fleet.loop.time()
         allowed_at = self.sent_at.get(hub.router, 0.0) + MIN_HUB_LIST_INTERVAL
-        if heartbeat.roster in (0, self.fleet.known_hubs_checksum) or now < allowed_at:
+        if (
+            heartbeat.hub_list_checksum in (0, self.fleet.known_hubs_checksum)
+            or now < allowed_at
+        ):
             return
         self.sent_at[hub.router] = now
         self._send(hub.router)
 
-    def take(self, sender: RouterId, hub_list: RosterMessage) -> None:
+    def take(self, sender: RouterId, hub_list: HubListMessage) -> None:
         """Process a list of the hubs of one data centre."""
         if self.fleet.role is Role.MESH:
             return
@@ -86,7 +92,7 @@
     ) -> None:
         """Mark hubs of a data centre as failed that its list does not contain."""
         # Heartbeats between hubs are more frequent than those from hubs to a leaf.
-        trusted = sender in [item.router for item in self.fleet.near_hubs()]
+        trusted = sender in [item.router for item in self.fleet.local_hubs()]
         for member in self.fleet.membership.members.values():
             is_candidate = member.hub and member.data_centre == data_centre
             if member is self.fleet.own or member.router == sender or not is_candidate:
@@ -111,12 +117,12 @@
             if entry.router not in self.to_contact:
                 self.to_contact.append(entry.router)
             return
-        self.fleet.membership.joined(
+        self.fleet.membership.register_member(
             entry.router, data_centre, entry.incarnation, entry.processor
         )
         member = self.fleet.membership.members[entry.router]
         member.from_hub_list = True
-        member.late = entry.late
+        member.lagging = entry.lagging
 
     def take_contacts(self) -> list[RouterId]:
         """Return the hubs to contact with the next heartbeat, and clear the list."""
@@ -137,13 +143,13 @@
         """Find the leaves of this data centre that should become hubs."""
         self.promotions = []
         if self.fleet.role is Role.HUB:
-            chosen = choose_hubs(self.fleet.near(self.fleet.own.data_centre))
+            chosen = choose_hubs(self.fleet.members_in(self.fleet.own.data_centre))
             self.promotions = [item for item in chosen if not item.hub]
 
     def is_responsible_for(self, leaf: Member) -> bool:
         """Return whether this router is the primary hub of a leaf."""
         own = self.fleet.own
-        return primary_hub(leaf.router, [*self.fleet.near_hubs(), own]) == own.router
+        return primary_hub(leaf.router, [*self.fleet.local_hubs(), own]) == own.router
 
     def _send(self, router: RouterId, only: DataCentreId | None = None) -> None:
         by_data_centre: dict[DataCentreId, list[Member]] = {}
@@ -159,7 +165,7 @@
             rows = [
                 self._hub_entry(item) for item in by_data_centre.get(data_centre, ())
             ]
-            self.fleet.send(router, RosterMessage(data_centre, rows))
+            self.fleet.send(router, HubListMessage(data_centre, rows))
 
     def _hub_entry(self, hub: Member) -> HubEntry:
         address = self.fleet.socket.address
@@ -171,5 +177,5 @@
             address.port,
             hub.incarnation,
             hub.processor,
-            hub.late,
+            hub.lagging,
         )
--- a/carawayfold/coordination/knowledge/anti_entropy.py
+++ b/carawayfold/coordination/knowledge/anti_entropy.py
@@ -14,7 +14,7 @@
 import logbook
 import msgspec
 
-from carawayfold.coordination.fleet.readers import ALL_READ, is_reader
+from carawayfold.coordination.fleet.readers import MAX_ROUTERS_ALL_READ, is_reader
 from carawayfold.coordination.knowledge.knowledge import EndpointSnapshot
 from carawayfold.state.evacuations import EvacuationSnapshot
 from carawayfold.state.routes import RouteTable
@@ -25,7 +25,7 @@
 
     from carawayfold.coordination.fleet.fleet import Fleet
     from carawayfold.coordination.knowledge.knowledge import Knowledge
-    from carawayfold.protocol.datagrams import Beat
+    from carawayfold.protocol.datagrams import Heartbeat
     from carawayfold.settings import Address
     from carawayfold.state.ids import RouterId
     from carawayfold.transport.client import HttpClient
@@ -118,7 +118,7 @@
         end = loop.time() + BOOTSTRAP_TIMEOUT
         if self.fleet.own.router in self._initial_readers():
             return
-        while len(self.fleet.addresses) >= ALL_READ and loop.time() < end:
+        while len(self.fleet.addresses) >= MAX_ROUTERS_ALL_READ and loop.time() < end:
             await self._fetch_missing(self._pick_informed_peer())
             if self.knowledge.complete:
                 self.reads_deferred_until = loop.time() + READ_DEFER_DURATION
@@ -132,10 +132,12 @@
 
     def _pick_informed_peer(self) -> RouterId:
         """Return a peer that has records by its heartbeats, or will have them soon."""
-        informed = [name for name, beat in self.fleet.beats.items() if beat.version]
+        informed = [
+            name for name, beat in self.fleet.heartbeats.items() if beat.version
+        ]
         expected = informed or self._initial_readers()
         reached = [name for name in expected if name in self.fleet.addresses]
-        return random.choice(reached) if reached else self.fleet.pick_known()
+        return random.choice(reached) if reached else self.fleet.random_router()
 
     async def _fetch_missing(self, router: RouterId) -> None:
         if self.knowledge.routes is None:
@@ -149,7 +151,7 @@
         """Return the age in seconds of the registrations that this router has."""
         known = self.knowledge
 
-        def is_ahead(beat: Beat) -> bool:
+        def is_ahead(beat: Heartbeat) -> bool:
             ahead = beat.version > known.version
             return ahead or beat.endpoints_offset > known.endpoints.offset
 
@@ -160,7 +162,7 @@
         """Return the age in seconds of the operators' records that this router has."""
         known = self.knowledge
 
-        def is_ahead(beat: Beat) -> bool:
+        def is_ahead(beat: Heartbeat) -> bool:
             ahead = beat.version > known.version
             return ahead or beat.evacuations_changed > known.evacuations.changed_at
 
@@ -171,8 +173,8 @@
     def _age(
         self,
         own: float,
-        is_ahead: Callable[[Beat], bool],
-        reported: Callable[[Beat], int],
+        is_ahead: Callable[[Heartbeat], bool],
+        reported: Callable[[Heartbeat], int],
     ) -> float:
         """Return the age in seconds of this router's records, from the store or a peer.
 
@@ -183,9 +185,9 @@
         """
         now = asyncio.get_running_loop().time()
         ages = [own]
-        for name, beat in self.fleet.beats.items():
+        for name, beat in self.fleet.heartbeats.items():
             if beat.version and not is_ahead(beat):
-                passed = now - self.fleet.beaten_at[name] + HOP_DELAY
+                passed = now - self.fleet.heartbeat_times[name] + HOP_DELAY
                 ages.append(passed + reported(beat) / 1000)
         return min(ages)
 
@@ -200,7 +202,7 @@
 
     def reads_for_others(self) -> bool:
         """Return whether other routers rely on what this one reads from the store."""
-        return self.fleet.size > ALL_READ
+        return self.fleet.size > MAX_ROUTERS_ALL_READ
 
     def silent_pause(self) -> float:
         """Return the delay in seconds before a call after one without an answer."""
@@ -263,7 +265,7 @@
             await self._fetch(peer, ENDPOINTS_PATH)
 
     def _most_advanced_peer(
-        self, progress: Callable[[Beat], int], own: int
+        self, progress: Callable[[Heartbeat], int], own: int
     ) -> RouterId | None:
         """Return the peer to fetch records newer than `own` from, None if none has any.
 
@@ -272,13 +274,17 @@
         """
         now = asyncio.get_running_loop().time()
         place = self.fleet.own.data_centre
-        beats = self.fleet.beats
+        heartbeats = self.fleet.heartbeats
 
         def rank(name: RouterId) -> tuple[bool, int, bool]:
             answers = self.unresponsive_until.get(name, now) <= now
-            return answers, progress(beats[name]), beats[name].data_centre == place
+            return (
+                answers,
+                progress(heartbeats[name]),
+                heartbeats[name].data_centre == place,
+            )
 
-        ahead = [name for name, beat in beats.items() if progress(beat) > own]
+        ahead = [name for name, beat in heartbeats.items() if progress(beat) > own]
         return max(ahead, key=rank, default=None)
 
     def _should_ask_peers(self) -> bool:
--- a/carawayfold/coordination/knowledge/followers.py
+++ b/carawayfold/coordination/knowledge/followers.py
@@ -133,7 +133,7 @@
         """Return the delay in seconds before the next call after one that failed."""
         if isinstance(error, NoAnswer):
             return self.silent_pause()
-        return max(0.0, self.backoff.next_pause() - lasted)
+        return max(0.0, self.backoff.next_delay() - lasted)
 
     def _log_failure(self, error: SourceError, lasted: float, pause: float) -> None:
         extra = {
--- a/carawayfold/coordination/knowledge/notices.py
+++ b/carawayfold/coordination/knowledge/notices.py
@@ -114,7 +114,7 @@
             x for x in message.endpoints if known.record_leaving(x, sender)
         ]
         if new_endpoints:
-            for router in self.fleet.passed_on_to(sender):
+            for router in self.fleet.forward_recipients(sender):
                 self.fleet.send(router, LeavingMessage(new_endpoints))
 
     @_handle_message.register
--- a/carawayfold/coordination/requests/calls.py
+++ b/carawayfold/coordination/requests/calls.py
@@ -30,7 +30,7 @@
     from carawayfold.coordination.requests.claims import Claims, OwnClaim
     from carawayfold.coordination.requests.once import AskOwner
     from carawayfold.coordination.slots.dispatch import Dispatcher
-    from carawayfold.coordination.slots.health import HealthBook
+    from carawayfold.coordination.slots.health import EndpointHealthTracker
     from carawayfold.protocol.callers import CallerRequest
     from carawayfold.settings import Settings
     from carawayfold.state.configuration import Endpoint as ConfiguredEndpoint
@@ -206,7 +206,7 @@
         settings: Settings,
         view: ConfigView,
         dispatcher: Dispatcher,
-        health: HealthBook,
+        health: EndpointHealthTracker,
         metrics: Metrics,
         http: HttpClient,
         claims: Claims,
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -489,7 +489,7 @@
 
     def _take_retry(self, call: ForwardedCall) -> bool:
         """Take one retry from this router's share of the budget, if any is left."""
-        routers = self.coordinator.fleet.counted
+        routers = self.coordinator.fleet.known_size
         now = self.loop.time()
         window = self.budget.window(call.service, routers, now)
         taken = self.budget.take(call.service, routers, now)
--- a/carawayfold/coordination/scheduling/desk.py
+++ b/carawayfold/coordination/scheduling/desk.py
@@ -474,7 +474,7 @@
         A router whose heartbeats arrive gets more time: even late, it decides with the
         usage of all organisations, which its replacement doesn't have.
         """
-        if self.fleet.is_heard_since(target, pending.first_offer_at):
+        if self.fleet.is_seen_since(target, pending.first_offer_at):
             limit = (
                 MAX_UNANSWERED_REFRESHES_LATE
                 if pending.queued
@@ -687,7 +687,7 @@
         scheduler = pool_state.scheduler
         leads = self.decides_for(pool_state.id)
         pool_state.set_leading(leads, now)
-        share = 1.0 if leads else self.fleet.stand_in_share()
+        share = 1.0 if leads else self.fleet.fallback_share()
         scheduler.plan = msgspec.structs.replace(scheduler.plan, share=share)
         scheduler.overloaded = now < self.overloaded_until
         decisions = scheduler.decide(now)
@@ -766,7 +766,7 @@
             return
         now = self.loop.time()
         if not self.decides_for(message.pool):
-            self.fleet.doubt(self.fleet.leader(message.pool))
+            self.fleet.confirm_failure(self.fleet.leader(message.pool))
         known = message.call in pool_state.scheduler.waiting
         statistics = self.decision_statistics.of(message.pool)
         if known:
--- a/carawayfold/coordination/slots/dispatch.py
+++ b/carawayfold/coordination/slots/dispatch.py
@@ -218,7 +218,7 @@
         self.rows.change(service, organisation, -1, received, requests)
         self.observer.slot_released(service, organisation)
 
-    def refuse_all(self, refusal: Refusal) -> None:
+    def reject_all(self, refusal: Refusal) -> None:
         """Reject all waiting requests with `refusal`."""
         for service, queue in self.queues.items():
             waiters = [
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -13,7 +13,7 @@
 from carawayfold.coordination.slots.link_fleet import take_messages
 from carawayfold.coordination.slots.pool import PoolGranter
 from carawayfold.coordination.slots.reporting import Reporter
-from carawayfold.coordination.slots.service_book import ServiceBook
+from carawayfold.coordination.slots.service_book import ServiceAccounts
 from carawayfold.protocol import peer_pb2
 from carawayfold.state.ids import (
     DataCentreId,
@@ -30,7 +30,7 @@
 
     from carawayfold.coordination.fleet.membership import Membership
     from carawayfold.coordination.slots.dispatch import Dispatcher
-    from carawayfold.coordination.slots.health import HealthBook
+    from carawayfold.coordination.slots.health import EndpointHealthTracker
     from carawayfold.coordination.slots.pool import Decision, PoolSpec
     from carawayfold.protocol.datagrams import Datagram
     from carawayfold.settings import Settings
@@ -92,7 +92,7 @@
         membership: Membership,
         dispatcher: Dispatcher,
         rows: OwnRows,
-        health: HealthBook,
+        health: EndpointHealthTracker,
         share_of: Callable[[OrganisationId], float],
         clock: Callable[[], float],
     ) -> None:
@@ -102,7 +102,7 @@
         self.clock = clock
         self.own = membership.own.router
         self.leads_all = settings.scheduling != "granted"
-        self.book = ServiceBook(self.own, rows, share_of)
+        self.book = ServiceAccounts(self.own, rows, share_of)
         self.reporter = Reporter(
             dispatcher,
             health,
@@ -194,7 +194,7 @@
         if self.links.get(router) is not link:
             link.close()
             return
-        self.membership.heard(router, frame.stopping)
+        self.membership.record_contact(router, frame.stopping)
         try:
             self._take(router, link, frame, first)
         except (KeyError, ValueError) as error:
@@ -232,7 +232,7 @@
         if before is not None and before is not link:
             before.close()
         data_centre = DataCentreId(hello.data_centre)
-        if self.membership.joined(router, data_centre, hello.incarnation):
+        if self.membership.register_member(router, data_centre, hello.incarnation):
             for led_pool in self.led_pools.values():
                 led_pool.granter.drop(router)
             self.book.restart(router)
@@ -414,7 +414,7 @@
 
     # Heartbeats
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat with the changed service rows to every peer."""
         self._remove_peers(self.membership.expire())
         self.membership.remove_failed(FORGET_TIMEOUT)
--- a/carawayfold/coordination/slots/health.py
+++ b/carawayfold/coordination/slots/health.py
@@ -42,7 +42,7 @@
     backoff_until: float = 0.0
 
 
-class HealthBook:
+class EndpointHealthTracker:
     """Health of every endpoint that this router has used.
 
     Parameters
--- a/carawayfold/coordination/slots/link_fleet.py
+++ b/carawayfold/coordination/slots/link_fleet.py
@@ -61,7 +61,7 @@
         for router in list(self.exchange.links):
             self.send(router, message)
 
-    def passed_on_to(self, sender: RouterId) -> list[RouterId]:
+    def forward_recipients(self, sender: RouterId) -> list[RouterId]:
         """Return no routers: nearby routers are all linked to each other."""
         return []
 
--- a/carawayfold/coordination/slots/loads.py
+++ b/carawayfold/coordination/slots/loads.py
@@ -43,7 +43,7 @@
     waiting: int = 0
 
 
-class LoadWatcher:
+class LoadPoller:
     """Queries the load of the endpoints of all pools that this router leads.
 
     Parameters
@@ -61,7 +61,7 @@
         self.view = view
         self.exchange = exchange
 
-    async def watch(self) -> None:
+    async def poll(self) -> None:
         """Query all endpoints periodically, until cancelled.
 
         Returns at once if every router leads all pools: work of other routers is then
--- a/carawayfold/coordination/slots/reporting.py
+++ b/carawayfold/coordination/slots/reporting.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from carawayfold.coordination.slots.dispatch import Dispatcher
-    from carawayfold.coordination.slots.health import HealthBook
+    from carawayfold.coordination.slots.health import EndpointHealthTracker
     from carawayfold.coordination.slots.pool import PoolSpec
     from carawayfold.protocol import peer_pb2
     from carawayfold.state.queue import OrganisationQueue
@@ -95,7 +95,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        health: HealthBook,
+        health: EndpointHealthTracker,
         data_centre: str,
         spread_delay: float,
         clock: Callable[[], float],
--- a/carawayfold/coordination/slots/service_book.py
+++ b/carawayfold/coordination/slots/service_book.py
@@ -18,7 +18,7 @@
 RowKey = tuple[ServiceId, OrganisationId]
 
 
-class ServiceBook:
+class ServiceAccounts:
     """Ledgers by service, updated from the rows of this router and of its peers.
 
     Parameters
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -16,7 +16,7 @@
 from carawayfold.coordination.fleet import directory
 from carawayfold.coordination.fleet.fleet import Fleet
 from carawayfold.coordination.fleet.membership import Member, PeerState
-from carawayfold.coordination.fleet.readers import can_tell
+from carawayfold.coordination.fleet.readers import can_relay_updates
 from carawayfold.coordination.knowledge import anti_entropy, followers
 from carawayfold.coordination.knowledge.anti_entropy import AntiEntropy
 from carawayfold.coordination.knowledge.knowledge import Knowledge
@@ -35,7 +35,7 @@
     operator_source,
 )
 from carawayfold.protocol import quarantine_list
-from carawayfold.protocol.datagrams import Beat
+from carawayfold.protocol.datagrams import Heartbeat
 from carawayfold.protocol.sources import PeerEntry
 from carawayfold.state.budget import RetryBudget
 from carawayfold.state.forwarded import ForwardMetrics
@@ -190,7 +190,7 @@
             self.directory, entry, self.fleet, learn, self.store_restored
         )
         self._spawn(joining)
-        self._spawn(self.fleet.keep_beating())
+        self._spawn(self.fleet.send_heartbeats())
         self._spawn(self.coordinator.report_periodically())
         self._spawn(self.containment.keep_looking())
         self._spawn(self.anti_entropy.keep_asking())
@@ -251,7 +251,7 @@
             now = loop.time()
             was_busy = self.pressure.is_busy(now)
             self.pressure.note(now - due, now)
-            self.fleet.note_late(self.pressure.is_overloaded())
+            self.fleet.set_lagging(self.pressure.is_overloaded())
             if self.pressure.is_busy(now) is not was_busy:
                 self._log_pressure(not was_busy, now - due)
 
@@ -337,8 +337,8 @@
 
     # Heartbeats and state updates
 
-    def _build_heartbeat(self) -> Beat:
-        return Beat(
+    def _build_heartbeat(self) -> Heartbeat:
+        return Heartbeat(
             self.settings.data_centre,
             self.fleet.own.state is PeerState.STOPPING,
             self.knowledge.version,
@@ -358,9 +358,9 @@
     def _on_datagram(self, datagram: Datagram, source: Address) -> None:
         if datagram.sender == self.settings.router:
             return
-        was_current = can_tell(self.fleet, datagram.sender)
+        was_current = can_relay_updates(self.fleet, datagram.sender)
         self.fleet.take(datagram, source)
-        if can_tell(self.fleet, datagram.sender) is not was_current:
+        if can_relay_updates(self.fleet, datagram.sender) is not was_current:
             self.anti_entropy.wake()
         self.coordinator.take(datagram)
         self.containment.take(datagram)
@@ -375,7 +375,7 @@
     def _store_changed(self) -> None:
         # The store has become reachable or unreachable from this router, so that
         # another router may have to read it, or no longer has to.
-        self.fleet.tell_near()
+        self.fleet.notify_local_routers()
         self.anti_entropy.wake()
 
     def _on_routes(self, table: RouteTable) -> None:
@@ -392,7 +392,7 @@
 
     def _on_endpoints(self) -> None:
         # Peers that read the store through this router get the update immediately.
-        self.fleet.tell_near()
+        self.fleet.notify_local_routers()
         if self.knowledge.routes is not None:
             knowledge = self.knowledge
             evacuated = knowledge.evacuations.active
--- a/carawayfold/protocol/datagrams.py
+++ b/carawayfold/protocol/datagrams.py
@@ -24,7 +24,7 @@
 MAX_DATAGRAM_BYTES = 1400
 
 
-class Beat(msgspec.Struct, array_like=True, tag=1, frozen=True):
+class Heartbeat(msgspec.Struct, array_like=True, tag=1, frozen=True):
     """Heartbeat of a router.
 
     Attributes
@@ -71,12 +71,12 @@
     processor: int = 100
     hub: bool = True
     size: int = 0
-    roster: int = 0
+    hub_list_checksum: int = 0
     verdicts: int = 0
     refused: bool = False
     evacuations_changed: Position = Position(0)
     operators_age: int = 0
-    late: bool = False
+    lagging: bool = False
 
 
 class OfferMessage(msgspec.Struct, array_like=True, tag=2, frozen=True):
@@ -261,10 +261,10 @@
     port: int
     incarnation: int
     processor: int
-    late: bool = False
+    lagging: bool = False
 
 
-class RosterMessage(msgspec.Struct, array_like=True, tag=10, frozen=True):
+class HubListMessage(msgspec.Struct, array_like=True, tag=10, frozen=True):
     """All hubs of one data centre that accept new work."""
 
     data_centre: DataCentreId
@@ -350,7 +350,7 @@
 
 
 Message = (
-    Beat
+    Heartbeat
     | OfferMessage
     | WithdrawMessage
     | QueuedMessage
@@ -359,7 +359,7 @@
     | FirstByteMessage
     | AttemptEndedMessage
     | ActiveRequestsMessage
-    | RosterMessage
+    | HubListMessage
     | CrashMessage
     | RanWellMessage
     | LostMessage
--- a/tests/coordination/fleet/test_fleet.py
+++ b/tests/coordination/fleet/test_fleet.py
@@ -7,8 +7,8 @@
 import pytest
 
 from carawayfold.coordination.fleet.fleet import LAGGING_DURATION, Role
-from carawayfold.coordination.fleet.hubs import HUBS_PER_DATA_CENTRE, MESH_MOST
-from carawayfold.protocol.datagrams import HubEntry, RosterMessage
+from carawayfold.coordination.fleet.hubs import HUBS_PER_DATA_CENTRE, MAX_MESH_ROUTERS
+from carawayfold.protocol.datagrams import HubEntry, HubListMessage
 from tests.simulated_fleet import WEAK, simulate, started
 
 SUBJECTS = [f"model/{number}" for number in range(4)]
@@ -37,7 +37,7 @@
     return simulate(run)
 
 
-@pytest.mark.parametrize(("count", "data_centres"), [(9, 3), (MESH_MOST, 4)])
+@pytest.mark.parametrize(("count", "data_centres"), [(9, 3), (MAX_MESH_ROUTERS, 4)])
 def test_a_small_fleet_is_a_mesh(count, data_centres):
     async def scenario(fleet):
         return fleet.roles(), agreed(fleet)
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "data_centres"), [(MESH_MOST + 1, 3), (67, 4), (195, 5)]
+    ("count", "data_centres"), [(MAX_MESH_ROUTERS + 1, 3), (67, 4), (195, 5)]
 )
 def test_a_large_fleet_has_three_hubs_in_each_data_centre(count, data_centres):
     async def scenario(fleet):
@@ -125,7 +125,7 @@
         second = fleet.routers[asking.responsible(SUBJECTS[0])]
 
         def leads():
-            second.doubt(lost)
+            second.confirm_failure(lost)
             return second.leader(SUBJECTS[0]) == second.own.router
 
         await fleet.until(leads, 1.0)
@@ -141,7 +141,7 @@
         asking.unanswered(suspected)
         passed_over = asking.responsible(SUBJECTS[0]) != suspected
         leads = asking.leader(SUBJECTS[0]) == suspected
-        fleet.routers[suspected].send(asking.own.router, RosterMessage("dc-0", []))
+        fleet.routers[suspected].send(asking.own.router, HubListMessage("dc-0", []))
         await asyncio.sleep(0.01)
         return passed_over, leads, asking.responsible(SUBJECTS[0]) == suspected
 
@@ -224,7 +224,7 @@
             if item.role is Role.LEAF and fleet.places[name] == "dc-0"
         )
         unreachable = HubEntry("nobody", "192.0.2.1", 1, 7, 10_000)
-        message = RosterMessage("dc-0", [unreachable])
+        message = HubListMessage("dc-0", [unreachable])
         fleet.routers[sender].send(leaf, message)
         await asyncio.sleep(0.1)
         listed = [item.router for item in fleet.routers[leaf].hubs()]
@@ -238,7 +238,7 @@
 @pytest.mark.parametrize(("count", "expected"), [(1, None), (2, 2), (9, 9)])
 def test_the_fleet_size_is_unknown_before_entries_or_heartbeats(count, expected):
     async def scenario(fleet):
-        return {router.counted for router in fleet.routers.values()}
+        return {router.known_size for router in fleet.routers.values()}
 
     assert run_scenario(scenario, count, 1) == {expected}
 
@@ -247,7 +247,7 @@
     async def scenario(fleet):
         (alone,) = fleet.routers.values()
         alone.listed.set()
-        return alone.counted
+        return alone.known_size
 
     assert run_scenario(scenario, 1, 1) == 1
 
@@ -257,18 +257,18 @@
     async def scenario(fleet):
         late = leader(fleet)
         router = fleet.routers[late]
-        router.note_late(True)
+        router.set_lagging(True)
 
         def replaced():
             return agreed(fleet) and leader(fleet) != late
 
         soon = await fleet.until(replaced, 1.0)
-        router.note_late(False)
+        router.set_lagging(False)
         await asyncio.sleep(LAGGING_DURATION / 2)
-        router.note_late(False)
+        router.set_lagging(False)
         still_replaced = leader(fleet) != late
         await asyncio.sleep(LAGGING_DURATION / 2)
-        router.note_late(False)
+        router.set_lagging(False)
         again = await fleet.until(lambda: agreed(fleet) and leader(fleet) == late, 1.0)
         return soon is not None, still_replaced, again is not None
 
@@ -279,7 +279,7 @@
     async def scenario(fleet):
         before = leader(fleet)
         for router in fleet.routers.values():
-            router.note_late(True)
+            router.set_lagging(True)
         await asyncio.sleep(2.0)
         return agreed(fleet) and leader(fleet) == before
 
--- a/tests/coordination/fleet/test_membership.py
+++ b/tests/coordination/fleet/test_membership.py
@@ -11,7 +11,7 @@
     own = Member("router-0", "north", 1, 0.0, processor=processors[0])
     members = Membership(own, lambda: 0.0, 1.0)
     for number, processor in enumerate(processors[1:], start=1):
-        members.joined(f"router-{number}", "north", 1, processor)
+        members.register_member(f"router-{number}", "north", 1, processor)
     return members
 
 
@@ -30,7 +30,7 @@
 
 def test_weak_instances_take_over_when_the_strong_ones_stop():
     members = membership([50, 215, 50])
-    members.heard("router-1", stopping=True)
+    members.record_contact("router-1", stopping=True)
     assert set(responsible(members)) == {"router-0", "router-2"}
 
 
--- a/tests/coordination/fleet/test_readers.py
+++ b/tests/coordination/fleet/test_readers.py
@@ -8,7 +8,7 @@
 
 from carawayfold.coordination.fleet import readers
 from carawayfold.coordination.fleet.membership import Member
-from carawayfold.protocol.datagrams import Beat
+from carawayfold.protocol.datagrams import Heartbeat
 
 
 def fleet_of(
@@ -34,8 +34,8 @@
         Member(f"router-{number}", f"dc-{number % data_centres}", 1, 0.0)
         for number in range(count)
     ]
-    beats = {
-        item.router: Beat(
+    heartbeats = {
+        item.router: Heartbeat(
             item.data_centre,
             False,
             1,
@@ -50,17 +50,17 @@
     own_member = next(item for item in members if item.router == own)
     return SimpleNamespace(
         loop=SimpleNamespace(time=lambda: now),
-        beaten_at=dict.fromkeys(beats, heartbeat_at),
-        near_hubs=lambda: [
+        heartbeat_times=dict.fromkeys(heartbeats, heartbeat_at),
+        local_hubs=lambda: [
             item
             for item in members
             if item.hub and item is not own_member and item.data_centre == "dc-0"
         ],
         own=own_member,
-        beats=beats,
+        heartbeats=heartbeats,
         size=count,
         hubs=lambda: [item for item in members if item.hub],
-        near=lambda name: [item for item in members if item.data_centre == name],
+        members_in=lambda name: [item for item in members if item.data_centre == name],
     )
 
 
@@ -76,7 +76,7 @@
 
 
 def test_every_router_of_a_small_fleet_reads():
-    count = readers.ALL_READ
+    count = readers.MAX_ROUTERS_ALL_READ
     assert len(reading(count, data_centres=1)) == count
 
 
--- a/tests/coordination/knowledge/test_anti_entropy.py
+++ b/tests/coordination/knowledge/test_anti_entropy.py
@@ -11,7 +11,7 @@
 from carawayfold.coordination.fleet.membership import Member
 from carawayfold.coordination.knowledge import anti_entropy
 from carawayfold.coordination.knowledge.knowledge import EndpointSnapshot
-from carawayfold.protocol.datagrams import Beat
+from carawayfold.protocol.datagrams import Heartbeat
 from carawayfold.settings import Address
 from carawayfold.state.evacuations import EvacuationSnapshot
 from carawayfold.transport.client import Answer, ExchangeError, Head, Phase
@@ -50,12 +50,12 @@
         addresses=names,
         size=peers + 1,
         expected_hubs=lambda: list(expected),
-        beats={},
+        heartbeats={},
         listed=listed,
-        pick_known=lambda: next(iter(names)),
+        random_router=lambda: next(iter(names)),
         hubs=lambda: [own],
         live=lambda: [own],
-        near=lambda place: [own],
+        members_in=lambda place: [own],
     )
 
 
@@ -95,8 +95,8 @@
         known.store.registrations = loop.time() - 60
         fleet = starting(80)
         made = anti_entropy.AntiEntropy(fleet, known, FakePeer())
-        fleet.beats["router-1"] = Beat("north", False, 1, 1, 2000)
-        fleet.beaten_at = {"router-1": loop.time() - 1}
+        fleet.heartbeats["router-1"] = Heartbeat("north", False, 1, 1, 2000)
+        fleet.heartbeat_times = {"router-1": loop.time() - 1}
         # Listed since by another router.
         named = Member("router-1", "north", 1, loop.time())
         fleet.membership = SimpleNamespace(members={"router-1": named})
@@ -172,9 +172,9 @@
         own=own,
         addresses=places,
         size=80,
-        beats={name: Beat("north", False, 1, 9, 0) for name in places},
-        beaten_at=dict.fromkeys(places, 0.0),
-        near_hubs=list,
+        heartbeats={name: Heartbeat("north", False, 1, 9, 0) for name in places},
+        heartbeat_times=dict.fromkeys(places, 0.0),
+        local_hubs=list,
     )
     took = [
         synchronized_after(fleet, OnePeerSilent(address)) for address in places.values()
--- a/tests/coordination/scheduling/test_caches.py
+++ b/tests/coordination/scheduling/test_caches.py
@@ -78,7 +78,7 @@
         first = decider(made)
         other = next(name for name in made if name != first)
         reader = await learn(made[other], source)
-        made[other].fleet.membership.heard(first, stopping=True)
+        made[other].fleet.membership.record_contact(first, stopping=True)
         tasks = []
         reader.spawn = lambda work: tasks.append(asyncio.ensure_future(work))
         reader.query_new_engines()
--- a/tests/coordination/scheduling/test_desk.py
+++ b/tests/coordination/scheduling/test_desk.py
@@ -79,7 +79,7 @@
         self.membership = Membership(self.own, loop.time, 1e9)
         for other in names:
             if other != name:
-                self.membership.joined(other, "north", 1)
+                self.membership.register_member(other, "north", 1)
 
     def send(self, router, message):
         self.network.deliver(self.own.router, router, message)
@@ -94,18 +94,18 @@
         until = self.suspects.until
         if self.suspects.alone() and self.leader(subject) in until:
             return self.own.router
-        return self.membership.responsible(subject, leaving_out=until)
+        return self.membership.responsible(subject, excluded=until)
 
     def unanswered(self, router):
         self.suspects.note(router, 0.0)
 
-    def is_heard_since(self, router, since):
+    def is_seen_since(self, router, since):
         return self.heard_at.get(router, -math.inf) > since
 
-    def doubt(self, router):
+    def confirm_failure(self, router):
         self.doubted.append(router)
 
-    def stand_in_share(self):
+    def fallback_share(self):
         return 1.0 / len(self.live())
 
 
@@ -188,7 +188,7 @@
         network.cut.add(first)
         asking = next(name for name in made if name != first)
         fleet = made[asking].fleet
-        second = fleet.membership.responsible("model/0", leaving_out={first})
+        second = fleet.membership.responsible("model/0", excluded={first})
         asking = next(name for name in made if name not in (first, second))
         loop = asyncio.get_running_loop()
         begun = loop.time()
@@ -251,7 +251,7 @@
         made = coordinators(network, ["a", "b", "c", "d"], endpoints=1, slots=1)
         first = decider(made)
         fleet = made[first].fleet
-        second = fleet.membership.responsible("model/0", leaving_out={first})
+        second = fleet.membership.responsible("model/0", excluded={first})
         asking = next(name for name in made if name not in (first, second))
         network.cut.add(first)
         # The next router has no free slot, so the request waits there.
--- a/tests/decider_faults.py
+++ b/tests/decider_faults.py
@@ -79,7 +79,7 @@
 def hand_over(run, second):
     """Let the leaders of all pools give up deciding, one each second from 2 s on."""
     if second in range(BEGIN, BEGIN + len(run.led)):
-        run.fleet.attached[run.led[second - BEGIN]].fleet.note_late(True)
+        run.fleet.attached[run.led[second - BEGIN]].fleet.set_lagging(True)
 
 
 def restart_deciders(run, second):
--- a/tests/protocol/test_datagrams.py
+++ b/tests/protocol/test_datagrams.py
@@ -11,24 +11,24 @@
     ActiveRequestReport,
     ActiveRequestsMessage,
     AttemptEndedMessage,
-    Beat,
     Datagram,
     GrantMessage,
+    Heartbeat,
     HubEntry,
+    HubListMessage,
     OfferMessage,
-    RosterMessage,
     VerdictMessage,
     decode,
     encode,
 )
 
 MESSAGES = [
-    Beat("north", False, 3, 7, 120),
+    Heartbeat("north", False, 3, 7, 120),
     OfferMessage("model/0", "r.0.1", "alder", "summary", 1, [("p", 9)], 9, 4, 80, 900),
     GrantMessage("r.0.1", "e-1", None, 7, 12),
     AttemptEndedMessage("model/0", "r.0.1", "whole"),
     ActiveRequestsMessage("model/0", [ActiveRequestReport("r.0.1", "e-1", 3, 9, True)]),
-    RosterMessage("north", [HubEntry("router-1", "127.0.0.1", 7400, 1, 100)]),
+    HubListMessage("north", [HubEntry("router-1", "127.0.0.1", 7400, 1, 100)]),
     VerdictMessage("c", "alder", "rested", 5, 10, 20, 30, ["e-1"]),
 ]
 VALID = [encode(Datagram("router-1", 1, [message])) for message in MESSAGES]
--- a/tests/simulated_deciders.py
+++ b/tests/simulated_deciders.py
@@ -215,7 +215,7 @@
     def measure(self, due):
         now = self.clock.loop.time()
         self.pressure.note(now - due, now)
-        self.fleet.note_late(self.pressure.is_overloaded())
+        self.fleet.set_lagging(self.pressure.is_overloaded())
 
 
 class ChargedFleet(SimulatedFleet):
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -11,7 +11,7 @@
 
 from carawayfold.coordination.fleet.fleet import Fleet
 from carawayfold.coordination.fleet.membership import Member, PeerState
-from carawayfold.protocol.datagrams import Beat, Datagram, decode, encode
+from carawayfold.protocol.datagrams import Datagram, Heartbeat, decode, encode
 from carawayfold.protocol.sources import PeerEntry
 from carawayfold.settings import Address
 
@@ -115,7 +115,7 @@
     changes: Counter = field(default_factory=Counter)
     tasks: dict[str, asyncio.Task] = field(default_factory=dict)
     attach: Callable[[str, Fleet], object] | None = None
-    fill_beat: Callable[[str, Beat], Beat] | None = None
+    fill_beat: Callable[[str, Heartbeat], Heartbeat] | None = None
     attached: dict[str, object] = field(default_factory=dict)
     looks: dict[str, asyncio.Task] = field(default_factory=dict)
 
@@ -159,7 +159,7 @@
 
         def beat():
             stopping = own.state is PeerState.STOPPING
-            plain = Beat(place, stopping, 1, 1, 0, processor)
+            plain = Heartbeat(place, stopping, 1, 1, 0, processor)
             return self.fill_beat(name, plain) if name in self.attached else plain
 
         def changed():
@@ -172,9 +172,9 @@
             made = self.attached[name] = self.attach(name, fleet)
             self.looks[name] = self.loop.create_task(made.keep_looking())
         self.entries[name] = PeerEntry(name, place, name, 1, processor)
-        beating = self.loop.create_task(fleet.keep_beating())
+        beating = self.loop.create_task(fleet.send_heartbeats())
         await asyncio.sleep(LISTING_DELAY)
-        fleet.learn(list(self.entries.values()))
+        fleet.add_entries(list(self.entries.values()))
         await beating
 
     def kill(self, *names):
--- a/tests/simulated_registrations.py
+++ b/tests/simulated_registrations.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from carawayfold.coordination.fleet.hubs import MESH_MOST
-from carawayfold.coordination.fleet.readers import can_tell
+from carawayfold.coordination.fleet.hubs import MAX_MESH_ROUTERS
+from carawayfold.coordination.fleet.readers import can_relay_updates
 from carawayfold.coordination.knowledge import anti_entropy, followers
 from carawayfold.coordination.knowledge.anti_entropy import AntiEntropy
 from carawayfold.coordination.knowledge.knowledge import Knowledge
-from carawayfold.protocol.datagrams import Beat
+from carawayfold.protocol.datagrams import Heartbeat
 from carawayfold.protocol.sources import Registered
 from carawayfold.transport.client import Answer, ExchangeError, Head, Phase
 from tests.schedule_builders import endpoint
@@ -64,8 +64,8 @@
         self.name = name
         self.fleet = fleet
         self.knowledge = Knowledge(
-            lambda table: fleet.tell_near(),
-            fleet.tell_near,
+            lambda table: fleet.notify_local_routers(),
+            fleet.notify_local_routers,
             self.store_changed,
             age=lambda: self.anti_entropy.information_age(),
         )
@@ -84,13 +84,13 @@
         )
 
     def store_changed(self):
-        self.fleet.tell_near()
+        self.fleet.notify_local_routers()
         self.anti_entropy.wake()
 
     def take(self, datagram):
         for message in datagram.messages:
-            told = isinstance(message, Beat) and message.hub
-            if told and not can_tell(self.fleet, datagram.sender):
+            told = isinstance(message, Heartbeat) and message.hub
+            if told and not can_relay_updates(self.fleet, datagram.sender):
                 self.anti_entropy.wake()
 
     def fleet_changed(self):
@@ -292,7 +292,7 @@
     """Print a row for each size and trouble."""
     print("routers  trouble                      median   99 %  worst  calls/s calm")
     for count, places in sizes:
-        troubles = TROUBLES if count <= MESH_MOST else TROUBLES | HUB_TROUBLES
+        troubles = TROUBLES if count <= MAX_MESH_ROUTERS else TROUBLES | HUB_TROUBLES
         for name, trouble in troubles.items():
             ages, calls = ages_of(
                 count, places, replace(trouble), range(rounds), evacuate=evacuate
--- a/tests/state/test_service_rows.py
+++ b/tests/state/test_service_rows.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from carawayfold.coordination.slots.service_book import ServiceBook
+from carawayfold.coordination.slots.service_book import ServiceAccounts
 from carawayfold.protocol import peer_pb2
 from carawayfold.protocol.names import NameTable
 from carawayfold.state.ids import OrganisationId, RouterId, ServiceId
@@ -23,8 +23,8 @@
     def __init__(self):
         self.now = 0.0
         self.rows = OwnRows(lambda: self.now)
-        self.book = ServiceBook(RouterId("one"), self.rows, lambda _: 1.0)
-        self.peer = ServiceBook(
+        self.book = ServiceAccounts(RouterId("one"), self.rows, lambda _: 1.0)
+        self.peer = ServiceAccounts(
             RouterId("two"), OwnRows(lambda: self.now), lambda _: 1.0
         )
         self.names = NameTable()
--- a/tests/transport/test_datagrams.py
+++ b/tests/transport/test_datagrams.py
@@ -5,11 +5,11 @@
 import asyncio
 import socket
 
-from carawayfold.protocol.datagrams import Beat, decode
+from carawayfold.protocol.datagrams import Heartbeat, decode
 from carawayfold.settings import Address
 from carawayfold.transport.datagrams import PeerSocket
 
-BEAT = Beat("north", False, 7, 100, 12)
+BEAT = Heartbeat("north", False, 7, 100, 12)
 
 
 def receivers(count):
