--- a/carawayfold/application.py
+++ b/carawayfold/application.py
@@ -14,7 +14,7 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
 from carawayfold.coordination.containment.containment import Containment
-from carawayfold.coordination.containment.pulse import Pulse
+from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 from carawayfold.coordination.fleet.membership import (
     MIN_SILENCE_TIMEOUT,
     Member,
@@ -164,7 +164,7 @@
         self.containment = Containment(
             self.link_fleet,
             self._endpoint_registration,
-            Pulse(),
+            EndpointActivity(),
             probe,
             DiscardingVerdictStore(),
             self._spawn,
@@ -207,7 +207,7 @@
             self._spawn(self.claims.append())
             self._spawn(self._watch_instances())
             self._spawn(self._send_heartbeats())
-            self._spawn(self.containment.keep_looking())
+            self._spawn(self.containment.run_periodically())
             self._spawn(LoadPoller(self.http, self.view, self.exchange).poll())
             for seed in self.settings.seeds:
                 self._spawn(self._request_hand_over(seed))
@@ -247,7 +247,7 @@
 
     def _send_verdicts(self, link: Link) -> None:
         """Send the known verdicts to a router that has just been linked."""
-        for verdict in self.containment.known_messages():
+        for verdict in self.containment.verdict_messages():
             self.link_fleet.send_on(link, verdict)
 
     # Stopping
--- a/carawayfold/coordination/containment/containment.py
+++ b/carawayfold/coordination/containment/containment.py
@@ -24,9 +24,9 @@
 from carawayfold.errors import ErrorKind, Refusal
 from carawayfold.protocol.datagrams import (
     CrashMessage,
+    EndpointLostMessage,
     Heartbeat,
-    LostMessage,
-    RanWellMessage,
+    SuccessMessage,
     VerdictMessage,
 )
 from carawayfold.state.crashes import (
@@ -49,7 +49,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Coroutine, Iterable
 
-    from carawayfold.coordination.containment.pulse import Pulse
+    from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
     from carawayfold.coordination.fleet.fleet import Fleet
     from carawayfold.protocol.datagrams import Datagram, Message
     from carawayfold.protocol.sources import QuarantineRecord, VerdictStore
@@ -118,7 +118,7 @@
         self,
         fleet: Fleet,
         registered: Callable[[EndpointId], Endpoint | None],
-        pulse: Pulse,
+        endpoint_activity: EndpointActivity,
         probe: Callable[[Address], Awaitable[Reach]],
         records: VerdictStore,
         spawn: Callable[[Coroutine[None, None, None]], None],
@@ -134,7 +134,12 @@
         self.book = CrashBook()
         self.departures = Departures()
         self.reports = CrashReports(
-            fleet, pulse, probe, self._handle_crash, self._on_endpoint_lost, spawn
+            fleet,
+            endpoint_activity,
+            probe,
+            self._handle_crash,
+            self._on_endpoint_lost,
+            spawn,
         )
         self.well_runs = WellRuns()
         #: Endpoints that ended while serving a harmful content, with that content.
@@ -154,7 +159,7 @@
 
     # Events observed by this router
 
-    def endpoint_gone(self, endpoint: Endpoint) -> None:
+    def endpoint_removed(self, endpoint: Endpoint) -> None:
         """Record that an endpoint is no longer registered."""
         now = self.loop.time()
         self.departures.note(endpoint, now)
@@ -164,7 +169,7 @@
     def _on_endpoint_lost(self, endpoint: EndpointId) -> None:
         """Broadcast that an endpoint has ended."""
         if self._record_lost(endpoint):
-            self.fleet.send_to_all(LostMessage(endpoint))
+            self.fleet.send_to_all(EndpointLostMessage(endpoint))
 
     def _record_lost(self, endpoint: EndpointId) -> bool:
         """Record the end of an endpoint; return whether it was unknown.
@@ -181,7 +186,7 @@
 
     # Checks of requests
 
-    def refuse_harmful(self, call: RequestIdentity) -> None:
+    def reject_harmful(self, call: RequestIdentity) -> None:
         """Reject a request whose content is quarantined.
 
         Called after each wait of a request, since a verdict can arrive meanwhile. The
@@ -207,7 +212,7 @@
             return False
         return self.quarantine.is_suspected(call.content)
 
-    def note_well(self, call: RequestIdentity, body: bytes) -> None:
+    def record_success(self, call: RequestIdentity, body: bytes) -> None:
         """Record a successful request if the record can affect a verdict."""
         now = self.loop.time()
         concerned = self.quarantine.concerns(call.organisation)
@@ -229,7 +234,7 @@
         """Report a successful run at loop time `at` to the responsible router."""
         responsible = self.fleet.responsible(partition_of(content))
         age = round((self.loop.time() - at) * 1000)
-        message = RanWellMessage(content, organisation, age)
+        message = SuccessMessage(content, organisation, age)
         if responsible == self.fleet.own.router:
             self._handle_message(message, responsible)
         else:
@@ -245,13 +250,13 @@
         )
         return True
 
-    def learn_records(self, records: Iterable[QuarantineRecord]) -> None:
+    def load_records(self, records: Iterable[QuarantineRecord]) -> None:
         """Apply the verdicts that the store holds."""
         for entry in self.recorder.read(records):
             self._accept_verdict(entry, "store")
         self.recorder.write_missing()
 
-    def known_messages(self) -> list[VerdictMessage]:
+    def verdict_messages(self) -> list[VerdictMessage]:
         """Return all verdicts, for a router that has none."""
         return [
             self._verdict_message(item) for item in self.quarantine.entries.values()
@@ -262,7 +267,7 @@
         self.reports.resend()
         self.recorder.write_missing()
 
-    async def keep_looking(self) -> None:
+    async def run_periodically(self) -> None:
         """Review reports and verdicts at regular intervals, without end."""
         while True:
             await asyncio.sleep(REVIEW_INTERVAL)
@@ -283,8 +288,8 @@
         self.book.expire(now)
         self.quarantine.expire(now)
         self.recorder.forget()
-        for endpoint, heard in list(self.lost.items()):
-            if now - heard > LOST_RETENTION_DURATION:
+        for endpoint, last_byte_at in list(self.lost.items()):
+            if now - last_byte_at > LOST_RETENTION_DURATION:
                 del self.lost[endpoint]
 
     # Messages of peers
@@ -306,7 +311,7 @@
         if now - self.last_sync_at.get(sender, -MIN_SYNC_INTERVAL) < MIN_SYNC_INTERVAL:
             return
         self.last_sync_at[sender] = now
-        for verdict in self.known_messages():
+        for verdict in self.verdict_messages():
             self.fleet.send(sender, verdict)
 
     @_handle_message.register
@@ -324,13 +329,13 @@
         self._update_verdict(message.content)
 
     @_handle_message.register
-    def _(self, message: RanWellMessage, sender: RouterId) -> None:
+    def _(self, message: SuccessMessage, sender: RouterId) -> None:
         at = self.loop.time() - message.age / 1000
-        self.book.note_well(message.content, message.organisation, at)
+        self.book.record_success(message.content, message.organisation, at)
         self._lower_verdict(message.content, at)
 
     @_handle_message.register
-    def _(self, message: LostMessage, sender: RouterId) -> None:
+    def _(self, message: EndpointLostMessage, sender: RouterId) -> None:
         if not self._record_lost(message.endpoint):
             return
         for router in self.fleet.forward_recipients(sender):
@@ -486,7 +491,7 @@
             self.reports.forget(entry.content, entry.since)
             return True
         if entry.level is Level.CLEARED:
-            self.book.note_well(entry.content, entry.organisation, entry.since)
+            self.book.record_success(entry.content, entry.organisation, entry.since)
             self.reports.forget(entry.content, entry.since)
             return True
         at = self.well_runs.last(entry.content, self.loop.time())
--- a/carawayfold/coordination/containment/crash_reports.py
+++ b/carawayfold/coordination/containment/crash_reports.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Coroutine
 
-    from carawayfold.coordination.containment.pulse import Pulse
+    from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
     from carawayfold.coordination.fleet.fleet import Fleet
     from carawayfold.settings import Address
     from carawayfold.state.endpoints import Endpoint
@@ -51,7 +51,7 @@
 SENDS_PER_OWNER = 3
 
 
-class Loss(msgspec.Struct, frozen=True):
+class LostAttempt(msgspec.Struct, frozen=True):
     """An attempt during which the connection to the endpoint was lost.
 
     Attributes
@@ -92,7 +92,7 @@
         Times that the report was sent to that incarnation.
     """
 
-    loss: Loss
+    loss: LostAttempt
     refused: bool
     owner: RouterId | None = None
     incarnation: int = 0
@@ -126,27 +126,27 @@
     def __init__(
         self,
         fleet: Fleet,
-        pulse: Pulse,
+        endpoint_activity: EndpointActivity,
         probe: Callable[[Address], Awaitable[Reach]],
         on_own_report: Callable[[CrashMessage, RouterId], None],
         on_lost: Callable[[EndpointId], None],
         spawn: Callable[[Coroutine[None, None, None]], None],
     ) -> None:
         self.fleet = fleet
-        self.pulse = pulse
+        self.endpoint_activity = endpoint_activity
         self.probe = probe
         self.on_own_report = on_own_report
         self.on_lost = on_lost
         self.spawn = spawn
         self.loop = asyncio.get_running_loop()
         #: Lost attempts at endpoints that are being probed.
-        self.probed: dict[EndpointId, list[Loss]] = {}
+        self.probed: dict[EndpointId, list[LostAttempt]] = {}
         #: Reports by content and endpoint, the oldest first.
         self.kept: OrderedDict[tuple[ContentId, EndpointId], PendingReport] = (
             OrderedDict()
         )
 
-    def note(self, loss: Loss) -> None:
+    def note(self, loss: LostAttempt) -> None:
         """Probe the endpoint of a lost attempt, once for all attempts lost together."""
         losses = self.probed.setdefault(loss.endpoint.id, [])
         losses.append(loss)
@@ -158,7 +158,7 @@
         for delay in PROBE_DELAYS:
             await asyncio.sleep(delay)
             reach = await self.probe(endpoint.address)
-            alive = self.pulse.heard.get(endpoint.id, 0.0) > begun
+            alive = self.endpoint_activity.last_byte_at.get(endpoint.id, 0.0) > begun
             if alive or reach is Reach.REFUSED:
                 break
         losses = self.probed.pop(endpoint.id)
@@ -180,7 +180,7 @@
         for loss in losses:
             self._create_report(loss, reach is Reach.REFUSED)
 
-    def _create_report(self, loss: Loss, refused: bool) -> None:
+    def _create_report(self, loss: LostAttempt, refused: bool) -> None:
         report = PendingReport(loss, refused)
         self.kept[loss.content, loss.endpoint.id] = report
         if len(self.kept) > MAX_REPORTS:
--- a/carawayfold/coordination/containment/pulse.py
+++ b/carawayfold/coordination/containment/pulse.py
@@ -15,7 +15,7 @@
 SILENCE_TIMEOUT = 1.0
 
 
-class Pulse:
+class EndpointActivity:
     """Time of the last activity of each endpoint.
 
     Attributes
@@ -25,13 +25,13 @@
     """
 
     def __init__(self) -> None:
-        self.heard: dict[EndpointId, float] = {}
+        self.last_byte_at: dict[EndpointId, float] = {}
 
-    def beat(self, endpoint: EndpointId, now: float) -> None:
+    def record_bytes(self, endpoint: EndpointId, now: float) -> None:
         """Record that bytes from an endpoint arrived at loop time `now`."""
-        self.heard[endpoint] = now
+        self.last_byte_at[endpoint] = now
 
     def is_silent(self, endpoint: EndpointId, since: float, now: float) -> bool:
         """Return whether nothing has arrived since `since` for too long."""
-        last = max(self.heard.get(endpoint, 0.0), since)
+        last = max(self.last_byte_at.get(endpoint, 0.0), since)
         return now - last >= SILENCE_TIMEOUT
--- a/carawayfold/coordination/knowledge/anti_entropy.py
+++ b/carawayfold/coordination/knowledge/anti_entropy.py
@@ -102,7 +102,7 @@
         #: Set to poll peers at once rather than after the usual interval.
         self.wake_requested = asyncio.Event()
 
-    async def adopt(self) -> None:
+    async def bootstrap(self) -> None:
         """Fetch all records from peers when a router of a large fleet starts.
 
         Ends without result after `BOOTSTRAP_TIMEOUT`, or at once in a small fleet. The
@@ -147,7 +147,7 @@
         if not self.knowledge.evacuations.known:
             await self._fetch(router, EVACUATIONS_PATH)
 
-    def information_age(self) -> float:
+    def registrations_age(self) -> float:
         """Return the age in seconds of the registrations that this router has."""
         known = self.knowledge
 
@@ -193,7 +193,7 @@
 
     def may_read(self) -> bool:
         """Return whether this router should read registrations from the store."""
-        return self._may_read(self.information_age())
+        return self._may_read(self.registrations_age())
 
     def _may_read(self, age: float) -> bool:
         if asyncio.get_running_loop().time() < self.reads_deferred_until:
@@ -204,17 +204,17 @@
         """Return whether other routers rely on what this one reads from the store."""
         return self.fleet.size > MAX_ROUTERS_ALL_READ
 
-    def silent_pause(self) -> float:
+    def no_answer_delay(self) -> float:
         """Return the delay in seconds before a call after one without an answer."""
         if is_reader(self.fleet, 0.0):
             return 0.0
         return NO_ANSWER_DELAY_PER_ROUTER * self.fleet.size * random.uniform(0.5, 1.5)
 
-    async def turn(self) -> None:
+    async def wait_for_turn(self) -> None:
         """Wait until this router should read registrations from the store."""
         await self.reading.wait()
 
-    async def operators_turn(self) -> None:
+    async def wait_for_operators_turn(self) -> None:
         """Wait until this router should read the operators' records from the store."""
         await self.reading_operators.wait()
 
@@ -222,7 +222,7 @@
         """Request a poll of the peers, and an update of the readers, without delay."""
         self.wake_requested.set()
 
-    async def keep_asking(self) -> None:
+    async def poll_periodically(self) -> None:
         """Poll peers for newer records at regular intervals, without end."""
         while True:
             self._update_reading()
@@ -235,7 +235,7 @@
 
     def _update_reading(self) -> None:
         """Update the age of the records, and whether this router reads the store."""
-        age = self.information_age()
+        age = self.registrations_age()
         self.known_at = asyncio.get_running_loop().time() - age
         for event, record_age in (
             (self.reading, age),
--- a/carawayfold/coordination/knowledge/followers.py
+++ b/carawayfold/coordination/knowledge/followers.py
@@ -79,15 +79,15 @@
         on_newest: Callable[[Page], None],
         on_read: Callable[[Page], None],
         wait: Callable[[], float],
-        turn: Callable[[], Awaitable[None]],
+        wait_for_turn: Callable[[], Awaitable[None]],
         on_answer: Callable[[], None],
         known_position: Callable[[], Position | None] = lambda: None,
         pause: float = 0.0,
-        silent_pause: Callable[[], float] = lambda: 0.0,
+        no_answer_delay: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self.topic = topic
         self.known_position = known_position
-        self.turn = turn
+        self.wait_for_turn = wait_for_turn
         self.on_answer = on_answer
         self.source = source
         self.knowledge = knowledge
@@ -95,7 +95,7 @@
         self.on_read = on_read
         self.wait = wait
         self.pause = pause
-        self.silent_pause = silent_pause
+        self.no_answer_delay = no_answer_delay
         self.next: Position | None = None
         #: Whether the store no longer retains the records after `next`.
         self.history_lost = False
@@ -132,7 +132,7 @@
     def _next_delay(self, error: SourceError, lasted: float) -> float:
         """Return the delay in seconds before the next call after one that failed."""
         if isinstance(error, NoAnswer):
-            return self.silent_pause()
+            return self.no_answer_delay()
         return max(0.0, self.backoff.next_delay() - lasted)
 
     def _log_failure(self, error: SourceError, lasted: float, pause: float) -> None:
@@ -168,7 +168,7 @@
     async def step(self) -> None:
         """Read once, as soon as no other router reads for this one."""
         if self.next is not None or self.knowledge.complete:
-            await self.turn()
+            await self.wait_for_turn()
         start = None if self.history_lost else self._start_position()
         self.call_started_at = self.knowledge.loop.time()
         if start is None:
@@ -199,9 +199,9 @@
 def follow_operators(
     source: Source[RouteTable | Evacuation],
     knowledge: Knowledge,
-    turn: Callable[[], Awaitable[None]],
+    wait_for_turn: Callable[[], Awaitable[None]],
     reads_for_others: Callable[[], bool],
-    silent_pause: Callable[[], float] = lambda: 0.0,
+    no_answer_delay: Callable[[], float] = lambda: 0.0,
 ) -> Follower:
     """Return a follower of the operators' configurations and evacuations."""
     return Follower(
@@ -211,18 +211,18 @@
         partial(knowledge.apply_operator_records, listed=True),
         knowledge.apply_operator_records,
         lambda: SHARED_LONG_POLL_TIMEOUT if reads_for_others() else LONG_POLL_TIMEOUT,
-        turn,
+        wait_for_turn,
         knowledge.record_operators_answer,
-        silent_pause=silent_pause,
+        no_answer_delay=no_answer_delay,
     )
 
 
 def follow_endpoints(
     source: Source[Registered],
     knowledge: Knowledge,
-    turn: Callable[[], Awaitable[None]],
+    wait_for_turn: Callable[[], Awaitable[None]],
     reads_for_others: Callable[[], bool],
-    silent_pause: Callable[[], float] = lambda: 0.0,
+    no_answer_delay: Callable[[], float] = lambda: 0.0,
 ) -> Follower:
     """Return a follower of registrations."""
     return Follower(
@@ -232,9 +232,9 @@
         knowledge.apply_listing,
         knowledge.apply_registrations,
         lambda: SHARED_LONG_POLL_TIMEOUT if reads_for_others() else LONG_POLL_TIMEOUT,
-        turn,
+        wait_for_turn,
         knowledge.record_registrations_answer,
         lambda: knowledge.endpoints.offset if knowledge.listed else None,
         ENDPOINT_READ_INTERVAL,
-        silent_pause,
+        no_answer_delay,
     )
--- a/carawayfold/coordination/knowledge/notices.py
+++ b/carawayfold/coordination/knowledge/notices.py
@@ -15,7 +15,10 @@
 import logbook
 import xxhash
 
-from carawayfold.protocol.datagrams import LeavingDigest, LeavingMessage
+from carawayfold.protocol.datagrams import (
+    EndpointsLeavingMessage,
+    LeavingChecksumMessage,
+)
 from carawayfold.state.ids import RouterId
 
 if TYPE_CHECKING:
@@ -36,7 +39,7 @@
 MAX_ENDPOINTS_PER_MESSAGE = 40
 
 
-class Notices:
+class EndpointNotices:
     """Handles notices of endpoints and distributes them to the other routers.
 
     Parameters
@@ -69,7 +72,9 @@
             xxhash.xxh3_64_intdigest("\n".join(leaving_endpoints).encode()) >> 33 or 1
         )
 
-    def heard(self, endpoint: Endpoint, answered: Answered, sent_at: float) -> None:
+    def handle_response(
+        self, endpoint: Endpoint, answered: Answered, sent_at: float
+    ) -> None:
         """Handle the notices in the head of a response.
 
         Parameters
@@ -82,7 +87,7 @@
             Loop time in seconds at which the request was sent.
         """
         if answered.leaving and self.knowledge.record_leaving(endpoint.id):
-            self.fleet.send_to_all(LeavingMessage([endpoint.id]))
+            self.fleet.send_to_all(EndpointsLeavingMessage([endpoint.id]))
         if not answered.rest:
             self.rests.answered(endpoint.id, sent_at)
             return
@@ -96,7 +101,7 @@
             await asyncio.sleep(DIGEST_INTERVAL)
             checksum = self.checksum
             if checksum:
-                self.fleet.send_to_all(LeavingDigest(checksum))
+                self.fleet.send_to_all(LeavingChecksumMessage(checksum))
 
     def take(self, datagram: Datagram) -> None:
         """Handle the messages of a peer."""
@@ -108,17 +113,17 @@
         """Handle one message; those of other modules are ignored."""
 
     @_handle_message.register
-    def _(self, message: LeavingMessage, sender: RouterId) -> None:
+    def _(self, message: EndpointsLeavingMessage, sender: RouterId) -> None:
         known = self.knowledge
         new_endpoints = [
             x for x in message.endpoints if known.record_leaving(x, sender)
         ]
         if new_endpoints:
             for router in self.fleet.forward_recipients(sender):
-                self.fleet.send(router, LeavingMessage(new_endpoints))
+                self.fleet.send(router, EndpointsLeavingMessage(new_endpoints))
 
     @_handle_message.register
-    def _(self, message: LeavingDigest, sender: RouterId) -> None:
+    def _(self, message: LeavingChecksumMessage, sender: RouterId) -> None:
         checksum = self.checksum
         if message.checksum == checksum:
             return
@@ -129,10 +134,10 @@
         self._send_all(sender)
         if message.checksum:
             # The sets differ: lets the sender reply with the endpoints that it has.
-            self.fleet.send(sender, LeavingDigest(checksum))
+            self.fleet.send(sender, LeavingChecksumMessage(checksum))
 
     def _send_all(self, router: RouterId) -> None:
         leaving_endpoints = self.knowledge.endpoints.said_leaving()
         for start in range(0, len(leaving_endpoints), MAX_ENDPOINTS_PER_MESSAGE):
             part = leaving_endpoints[start : start + MAX_ENDPOINTS_PER_MESSAGE]
-            self.fleet.send(router, LeavingMessage(part))
+            self.fleet.send(router, EndpointsLeavingMessage(part))
--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -197,7 +197,9 @@
         if not self.call.route.repeatable:
             return
         now = self.loop.time()
-        if self.forwarder.pulse.is_silent(self.endpoint.id, self.started, now):
+        if self.forwarder.endpoint_activity.is_silent(
+            self.endpoint.id, self.started, now
+        ):
             raise TimeoutError
 
     def close(self) -> None:
@@ -217,7 +219,9 @@
     def _on_head(self, head: Head) -> None:
         self._note_activity()
         self.answer_head = self.forwarder.dialect.read_answer(head)
-        self.forwarder.notices.heard(self.endpoint, self.answer_head, self.started)
+        self.forwarder.notices.handle_response(
+            self.endpoint, self.answer_head, self.started
+        )
         if self.answer_head.rest:
             self.forwarder.withdraw_barred()
         streaming = self.call.route.kind is RouteKind.STREAMING
@@ -225,7 +229,9 @@
             self.events = NumberedEvents(self.call.resume_after)
 
     def _note_activity(self) -> None:
-        self.forwarder.pulse.beat(self.endpoint.id, self.loop.time())
+        self.forwarder.endpoint_activity.record_bytes(
+            self.endpoint.id, self.loop.time()
+        )
 
     def _on_data(self, data: bytes) -> None:
         self._note_activity()
--- a/carawayfold/coordination/requests/calls.py
+++ b/carawayfold/coordination/requests/calls.py
@@ -8,7 +8,7 @@
 
 import logbook
 
-from carawayfold.coordination.containment.crash_reports import Loss
+from carawayfold.coordination.containment.crash_reports import LostAttempt
 from carawayfold.coordination.requests.once import AtMostOnceRunner
 from carawayfold.coordination.requests.relay import (
     DECLINED_STATUSES,
@@ -256,7 +256,7 @@
         deadline = now + (parsed.timeout or self.settings.deadline)
         once = bool(parsed.idempotency_key) or not service.repeatable
         call = Call(parsed, response, organisation, service, now, deadline, once)
-        self.containment.refuse_harmful(call)
+        self.containment.reject_harmful(call)
         return call
 
     async def _run(self, call: Call) -> None:
@@ -410,7 +410,7 @@
 
     def _refuse_harmful_after_acquire(self, call: Call, endpoint: EndpointId) -> None:
         try:
-            self.containment.refuse_harmful(call)
+            self.containment.reject_harmful(call)
         except Refusal:
             self.dispatcher.release(
                 call.request.service, call.organisation, endpoint, 0.0, 0
@@ -425,13 +425,13 @@
         answer_started = call.relay is not None and call.relay.answer_started
         registered = registration(configured)
         started = call.relay.started_at if call.relay is not None else None
-        loss = Loss(
+        loss = LostAttempt(
             call.content, call.organisation, registered, now, answer_started, started
         )
         self.containment.reports.note(loss)
 
     def _end_complete(self, call: Call, answer: CompleteAnswer) -> None:
-        self.containment.note_well(call, call.request.body)
+        self.containment.record_success(call, call.request.body)
         self._record_first_byte(call)
         self.metrics.of(call.organisation).whole += 1
         if self.stopping:
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from carawayfold.coordination.containment.crash_reports import Loss
+from carawayfold.coordination.containment.crash_reports import LostAttempt
 from carawayfold.coordination.requests.attempts import Attempt, AttemptRequest
 from carawayfold.coordination.requests.repeats import (
     AttemptEnd,
@@ -35,8 +35,8 @@
     from collections.abc import Callable, Mapping
 
     from carawayfold.coordination.containment.containment import Containment
-    from carawayfold.coordination.containment.pulse import Pulse
-    from carawayfold.coordination.knowledge.notices import Notices
+    from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
+    from carawayfold.coordination.knowledge.notices import EndpointNotices
     from carawayfold.coordination.scheduling.coordinator import SchedulingCoordinator
     from carawayfold.coordination.scheduling.offers import Basis
     from carawayfold.protocol.exchanges import Answered, Asked, Dialect
@@ -207,9 +207,9 @@
         http: HttpClient,
         dialect: Dialect,
         budget: RetryBudget,
-        pulse: Pulse,
+        endpoint_activity: EndpointActivity,
         containment: Containment,
-        notices: Notices,
+        notices: EndpointNotices,
         metrics: ForwardMetrics,
         draw: Callable[[], float],
         regions: Mapping[DataCentreId, RegionId],
@@ -218,7 +218,7 @@
         self.http = http
         self.dialect = dialect
         self.budget = budget
-        self.pulse = pulse
+        self.endpoint_activity = endpoint_activity
         self.containment = containment
         self.notices = notices
         self.metrics = metrics
@@ -335,7 +335,7 @@
             if end is AttemptEnd.WITHDRAWN:
                 continue
             if end is AttemptEnd.WHOLE:
-                self.containment.note_well(call, call.incoming.body)
+                self.containment.record_success(call, call.incoming.body)
                 self._log_end(call, "whole")
                 return
             call.attempts.add(end)
@@ -519,7 +519,7 @@
             of the quarantine.
         """
         try:
-            self.containment.refuse_harmful(call)
+            self.containment.reject_harmful(call)
         except Refusal as refusal:
             if call.attempts.may_have_run:
                 kind = ErrorKind.ENDPOINT_FAILED
@@ -545,13 +545,16 @@
         if outcome in (Outcome.CANCELLED, Outcome.SILENT):
             if not attempt.sent or attempt.stopped:
                 return
-            if not self.pulse.is_silent(endpoint.id, attempt.started, now):
+            if not self.endpoint_activity.is_silent(endpoint.id, attempt.started, now):
                 return
-            at = max(attempt.started, self.pulse.heard.get(endpoint.id, 0.0))
+            at = max(
+                attempt.started,
+                self.endpoint_activity.last_byte_at.get(endpoint.id, 0.0),
+            )
         elif not attempt.suspend_endpoint:
             return
         begun = attempt.first_event_delay is not None
-        loss = Loss(
+        loss = LostAttempt(
             call.content, call.organisation, endpoint, at, begun, attempt.started
         )
         self.containment.reports.note(loss)
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from carawayfold.coordination.containment.containment import Containment
-from carawayfold.coordination.containment.pulse import Pulse
+from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 from carawayfold.coordination.fleet import directory
 from carawayfold.coordination.fleet.fleet import Fleet
 from carawayfold.coordination.fleet.membership import Member, PeerState
@@ -20,7 +20,7 @@
 from carawayfold.coordination.knowledge import anti_entropy, followers
 from carawayfold.coordination.knowledge.anti_entropy import AntiEntropy
 from carawayfold.coordination.knowledge.knowledge import Knowledge
-from carawayfold.coordination.knowledge.notices import Notices
+from carawayfold.coordination.knowledge.notices import EndpointNotices
 from carawayfold.coordination.requests.forwarding import Forwarder
 from carawayfold.coordination.requests.shedding import ShedLog
 from carawayfold.coordination.scheduling.caches import CacheReader
@@ -132,16 +132,18 @@
             self._on_endpoints,
             self._store_changed,
             self.store_restored.set,
-            lambda: self.anti_entropy.information_age(),
+            lambda: self.anti_entropy.registrations_age(),
         )
         self.anti_entropy = AntiEntropy(self.fleet, self.knowledge, self.http)
-        self.notices = Notices(self.fleet, self.knowledge, self.coordinator.rests)
+        self.notices = EndpointNotices(
+            self.fleet, self.knowledge, self.coordinator.rests
+        )
         self.metrics = ForwardMetrics()
-        pulse = Pulse()
+        endpoint_activity = EndpointActivity()
         self.containment = Containment(
             self.fleet,
             lambda endpoint: self.coordinator.endpoints.get(endpoint),
-            pulse,
+            endpoint_activity,
             probe,
             self.directory,
             self._spawn,
@@ -153,7 +155,7 @@
             self.http,
             PlatformDialect(),
             RetryBudget(settings.budget, loop.time()),
-            pulse,
+            endpoint_activity,
             self.containment,
             self.notices,
             self.metrics,
@@ -184,7 +186,7 @@
         self.socket.open(self.settings.peer_listen)
         self._handle_signals()
         self._spawn(self._follow_store())
-        learn = self.containment.learn_records
+        learn = self.containment.load_records
         entry = self._peer_entry()
         joining = directory.join(
             self.directory, entry, self.fleet, learn, self.store_restored
@@ -192,8 +194,8 @@
         self._spawn(joining)
         self._spawn(self.fleet.send_heartbeats())
         self._spawn(self.coordinator.report_periodically())
-        self._spawn(self.containment.keep_looking())
-        self._spawn(self.anti_entropy.keep_asking())
+        self._spawn(self.containment.run_periodically())
+        self._spawn(self.anti_entropy.poll_periodically())
         self._spawn(self.notices.report_periodically())
         self._spawn(self._close_idle_periodically())
         self._spawn(self._sample_loop_delay())
@@ -213,23 +215,23 @@
 
     async def _follow_store(self) -> None:
         """Load the initial state from peers or the store, then follow the store."""
-        await self.anti_entropy.adopt()
+        await self.anti_entropy.bootstrap()
         knowledge, peers = self.knowledge, self.anti_entropy
         operators = operator_source(self.store)
         endpoints = endpoint_source(self.store)
         follow_operators = followers.follow_operators(
             operators,
             knowledge,
-            peers.operators_turn,
+            peers.wait_for_operators_turn,
             peers.reads_for_others,
-            peers.silent_pause,
+            peers.no_answer_delay,
         )
         follow_endpoints = followers.follow_endpoints(
             endpoints,
             knowledge,
-            peers.turn,
+            peers.wait_for_turn,
             peers.reads_for_others,
-            peers.silent_pause,
+            peers.no_answer_delay,
         )
         self._spawn(follow_operators.follow())
         self._spawn(follow_endpoints.follow())
@@ -343,7 +345,7 @@
             self.fleet.own.state is PeerState.STOPPING,
             self.knowledge.version,
             self.knowledge.endpoints.offset,
-            round(self.anti_entropy.information_age() * 1000),
+            round(self.anti_entropy.registrations_age() * 1000),
             self.settings.processor,
             verdicts=self.containment.quarantine.checksum,
             refused=not self.knowledge.store.reachable,
@@ -401,7 +403,7 @@
             )
             for endpoint in removed:
                 self.http.drop_idle(endpoint.address)
-                self.containment.endpoint_gone(endpoint)
+                self.containment.endpoint_removed(endpoint)
             self.forwarder.withdraw_barred()
             self.caches.query_new_engines()
 
--- a/carawayfold/protocol/datagrams.py
+++ b/carawayfold/protocol/datagrams.py
@@ -301,7 +301,7 @@
     lasted: int | None = None
 
 
-class RanWellMessage(msgspec.Struct, array_like=True, tag=12, frozen=True):
+class SuccessMessage(msgspec.Struct, array_like=True, tag=12, frozen=True):
     """Completion of a suspected content without a crash, `age` milliseconds ago."""
 
     content: ContentId
@@ -309,19 +309,19 @@
     age: int
 
 
-class LostMessage(msgspec.Struct, array_like=True, tag=14, frozen=True):
+class EndpointLostMessage(msgspec.Struct, array_like=True, tag=14, frozen=True):
     """Failure of an endpoint: it accepts no connections and has dropped its own."""
 
     endpoint: EndpointId
 
 
-class LeavingMessage(msgspec.Struct, array_like=True, tag=15, frozen=True):
+class EndpointsLeavingMessage(msgspec.Struct, array_like=True, tag=15, frozen=True):
     """Endpoints that have announced in answers that they leave."""
 
     endpoints: list[EndpointId]
 
 
-class LeavingDigest(msgspec.Struct, array_like=True, tag=16, frozen=True):
+class LeavingChecksumMessage(msgspec.Struct, array_like=True, tag=16, frozen=True):
     """Checksum of the endpoints known to have announced that; 0 for none."""
 
     checksum: int
@@ -361,10 +361,10 @@
     | ActiveRequestsMessage
     | HubListMessage
     | CrashMessage
-    | RanWellMessage
-    | LostMessage
-    | LeavingMessage
-    | LeavingDigest
+    | SuccessMessage
+    | EndpointLostMessage
+    | EndpointsLeavingMessage
+    | LeavingChecksumMessage
     | VerdictMessage
 )
 
--- a/carawayfold/state/crashes.py
+++ b/carawayfold/state/crashes.py
@@ -222,7 +222,7 @@
         self.cases.move_to_end(content)
         return True
 
-    def note_well(
+    def record_success(
         self, content: ContentId, organisation: OrganisationId, at: float
     ) -> None:
         """Record a run that completed, and drop the crashes up to it.
--- a/tests/coordination/containment/test_crash_reports.py
+++ b/tests/coordination/containment/test_crash_reports.py
@@ -5,9 +5,9 @@
 import asyncio
 
 import pytest
+from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 
-from carawayfold.coordination.containment.crash_reports import CrashReports, Loss
-from carawayfold.coordination.containment.pulse import Pulse
+from carawayfold.coordination.containment.crash_reports import CrashReports, LostAttempt
 from carawayfold.coordination.fleet.membership import Member, Membership
 from carawayfold.state.contents import content_id
 from carawayfold.transport.probes import Reach
@@ -35,7 +35,7 @@
 
     async def work():
         loop = asyncio.get_running_loop()
-        pulse = Pulse()
+        endpoint_activity = EndpointActivity()
         remaining = list(reaches)
         reports, lost, tasks = [], [], []
 
@@ -44,16 +44,18 @@
 
         made = CrashReports(
             SingleRouterFleet(),
-            pulse,
+            endpoint_activity,
             probe,
             lambda message, sender: reports.append(message),
             lost.append,
             lambda work: tasks.append(loop.create_task(work)),
         )
         for _ in range(losses):
-            made.note(Loss(CONTENT, "alder", endpoint("e-1"), loop.time()))
+            made.note(LostAttempt(CONTENT, "alder", endpoint("e-1"), loop.time()))
         if byte_after is not None:
-            loop.call_later(byte_after, lambda: pulse.beat("e-1", loop.time()))
+            loop.call_later(
+                byte_after, lambda: endpoint_activity.record_bytes("e-1", loop.time())
+            )
         await asyncio.gather(*tasks)
         return reports, lost, len(reaches) - len(remaining)
 
--- a/tests/coordination/knowledge/test_anti_entropy.py
+++ b/tests/coordination/knowledge/test_anti_entropy.py
@@ -70,7 +70,7 @@
     async def run():
         known, _ = knowledge()
         made = anti_entropy.AntiEntropy(starting(peers), known, FakePeer(ready_after))
-        await made.adopt()
+        await made.bootstrap()
         return known.complete, made.may_read()
 
     assert run_in_loop(run) == (told, not told)
@@ -82,7 +82,7 @@
         peer = FakePeer()
         fleet = starting(80, expected=("router-3", "router-new"))
         made = anti_entropy.AntiEntropy(fleet, known, peer)
-        await made.adopt()
+        await made.bootstrap()
         return peer.asked, made.may_read()
 
     assert run_in_loop(run) == (0, True)
@@ -100,10 +100,10 @@
         # Listed since by another router.
         named = Member("router-1", "north", 1, loop.time())
         fleet.membership = SimpleNamespace(members={"router-1": named})
-        ahead = made.information_age()
+        ahead = made.registrations_age()
         known.apply_routes(table(1), "store")
         known.endpoints.offset = 1
-        return round(ahead), round(made.information_age())
+        return round(ahead), round(made.registrations_age())
 
     assert run_in_loop(run) == (60, 3)
 
@@ -117,7 +117,7 @@
         made = anti_entropy.AntiEntropy(
             starting(80), known, FakePeer(ready_after=10_000)
         )
-        await made.adopt()
+        await made.bootstrap()
         return known.complete, made.may_read()
 
     assert run_in_loop(run) == (False, True)
@@ -151,7 +151,7 @@
         made = anti_entropy.AntiEntropy(fleet, known, http)
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        asking = asyncio.create_task(made.keep_asking())
+        asking = asyncio.create_task(made.poll_periodically())
         while not known.endpoints.entries and loop.time() - begun < WAIT_TIMEOUT:
             await asyncio.sleep(0.01)
         asking.cancel()
--- a/tests/coordination/requests/test_calls.py
+++ b/tests/coordination/requests/test_calls.py
@@ -31,7 +31,7 @@
 class EmptyContainment:
     """Holds no content under which endpoints crashed."""
 
-    def refuse_harmful(self, call):
+    def reject_harmful(self, call):
         pass
 
     def is_suspected(self, call):
--- a/tests/simulated_crashes.py
+++ b/tests/simulated_crashes.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 
 import msgspec
+from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 
 from carawayfold.coordination.containment.containment import Containment
-from carawayfold.coordination.containment.crash_reports import Loss
-from carawayfold.coordination.containment.pulse import Pulse
+from carawayfold.coordination.containment.crash_reports import LostAttempt
 from carawayfold.protocol.sources import SourceError
 from carawayfold.settings import Address
 from carawayfold.state.contents import content_id
@@ -155,13 +155,13 @@
         made = Containment(
             router,
             self.registered,
-            Pulse(),
+            EndpointActivity(),
             lambda address: self.probe(name, address),
             self.records,
             self.spawn,
         )
         self.containments[name] = made
-        made.learn_records(list(self.records.kept.values()))
+        made.load_records(list(self.records.kept.values()))
         return made
 
     def fill_beat(self, name, beat):
@@ -214,7 +214,7 @@
     def lapse(self, engine):
         engine.registered = False
         for made in self.containments.values():
-            made.endpoint_gone(engine.endpoint)
+            made.endpoint_removed(engine.endpoint)
 
     def lose(self, run, engine, now):
         if run.harmful:
@@ -226,7 +226,9 @@
         made = self.containments.get(run.router)
         if made is not None:
             begun = now >= run.begins
-            made.reports.note(Loss(run.content, "alder", engine.endpoint, now, begun))
+            made.reports.note(
+                LostAttempt(run.content, "alder", engine.endpoint, now, begun)
+            )
         if not run.harmful:
             self.loop.call_later(0.01, self.send_again, run)
 
@@ -277,7 +279,7 @@
         engine.runs.remove(run)
         made = self.containments.get(run.router)
         if made is not None:
-            made.note_well(run, b"")
+            made.record_success(run, b"")
 
     def kill(self, *routers):
         """End routers without a word, with all that they have."""
--- a/tests/simulated_deciders.py
+++ b/tests/simulated_deciders.py
@@ -205,7 +205,7 @@
     def fleet_changed(self):
         self.clock.submit(self.coordinator.fleet_changed)
 
-    async def keep_looking(self):
+    async def run_periodically(self):
         for number in itertools.count():
             await asyncio.sleep(PRESSURE_INTERVAL)
             self.clock.submit(self.measure, self.clock.loop.time())
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -170,7 +170,7 @@
         fleet = self.routers[name] = Fleet(socket, own, beat, changed)
         if self.attach is not None:
             made = self.attached[name] = self.attach(name, fleet)
-            self.looks[name] = self.loop.create_task(made.keep_looking())
+            self.looks[name] = self.loop.create_task(made.run_periodically())
         self.entries[name] = PeerEntry(name, place, name, 1, processor)
         beating = self.loop.create_task(fleet.send_heartbeats())
         await asyncio.sleep(LISTING_DELAY)
--- a/tests/simulated_notices.py
+++ b/tests/simulated_notices.py
@@ -14,7 +14,7 @@
 import logbook
 
 from carawayfold.coordination.knowledge.knowledge import Knowledge
-from carawayfold.coordination.knowledge.notices import Notices
+from carawayfold.coordination.knowledge.notices import EndpointNotices
 from carawayfold.protocol.exchanges import Answered
 from carawayfold.state.rests import Rests
 from tests.schedule_builders import endpoint
@@ -70,7 +70,7 @@
 
     def __init__(self, fleet, count):
         self.knowledge = Knowledge(lambda table: None, lambda: None)
-        self.notices = Notices(fleet, self.knowledge, Rests())
+        self.notices = EndpointNotices(fleet, self.knowledge, Rests())
         for number in range(count):
             self.knowledge.endpoints.put(endpoint(name_of(number)))
 
@@ -80,7 +80,7 @@
     def fleet_changed(self):
         """Nothing here depends on who decides."""
 
-    async def keep_looking(self):
+    async def run_periodically(self):
         await self.notices.report_periodically()
 
     def obeys(self, name):
@@ -106,7 +106,9 @@
         living = [item for item in self.fleet.routers if item not in self.fleet.dead]
         hearing = self.fleet.draw.sample(living, min(heard_by, len(living)))
         for router in hearing:
-            self.routers[router].notices.heard(endpoint(name), SAYS_LEAVING, 0.0)
+            self.routers[router].notices.handle_response(
+                endpoint(name), SAYS_LEAVING, 0.0
+            )
         return hearing
 
 
--- a/tests/simulated_registrations.py
+++ b/tests/simulated_registrations.py
@@ -67,7 +67,7 @@
             lambda table: fleet.notify_local_routers(),
             fleet.notify_local_routers,
             self.store_changed,
-            age=lambda: self.anti_entropy.information_age(),
+            age=lambda: self.anti_entropy.registrations_age(),
         )
         http = SimulatedHttp(world, name)
         self.anti_entropy = AntiEntropy(fleet, self.knowledge, http)
@@ -77,7 +77,7 @@
             beat,
             version=self.knowledge.version,
             endpoints_offset=self.knowledge.endpoints.offset,
-            store_age=round(self.anti_entropy.information_age() * 1000),
+            store_age=round(self.anti_entropy.registrations_age() * 1000),
             refused=not self.knowledge.store.reachable,
             evacuations_changed=self.knowledge.evacuations.changed_at,
             operators_age=round(self.anti_entropy.operators_age() * 1000),
@@ -109,34 +109,34 @@
     def source(self, records, newest):
         return SimulatedSource(self.world.store, self.name, records, newest)
 
-    async def keep_looking(self):
+    async def run_periodically(self):
         store = self.world.store
         tables = self.source(store.tables, store.newest_words)
         registered = self.source(store.records, store.newest)
         peers = self.anti_entropy
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.anti_entropy.keep_asking())
-            await self.anti_entropy.adopt()
+            group.create_task(self.anti_entropy.poll_periodically())
+            await self.anti_entropy.bootstrap()
             routes = followers.follow_operators(
                 tables,
                 self.knowledge,
-                peers.operators_turn,
+                peers.wait_for_operators_turn,
                 peers.reads_for_others,
-                peers.silent_pause,
+                peers.no_answer_delay,
             )
             endpoints = followers.follow_endpoints(
                 registered,
                 self.knowledge,
-                peers.turn,
+                peers.wait_for_turn,
                 peers.reads_for_others,
-                peers.silent_pause,
+                peers.no_answer_delay,
             )
             group.create_task(routes.follow())
             group.create_task(endpoints.follow())
 
     def age(self):
         """Return for how long this router says that it has not known everything."""
-        return self.anti_entropy.information_age()
+        return self.anti_entropy.registrations_age()
 
     def knows_evacuated(self, data_centre):
         """Return whether this router would send nothing more to a data centre."""
--- a/tests/state/test_crashes.py
+++ b/tests/state/test_crashes.py
@@ -104,7 +104,7 @@
     table = CrashBook()
     for number, at in enumerate((AT, AT + 3, AT + 6)):
         table.note(content(), "alder", crash(f"e-{number}", at))
-    table.note_well(content(), "alder", AT + 4)
+    table.record_success(content(), "alder", AT + 4)
     assert set(table.cases[content()].crashes) == {"e-2"}
 
 
