--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -5,7 +5,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from carawayfold.coordination.requests.claims import APPEND_GAP, APPENDS_BUDGET
+from carawayfold.coordination.requests.claims import (
+    MAX_FLEET_APPENDS_PER_SECOND,
+    MIN_APPEND_INTERVAL,
+)
 
 if TYPE_CHECKING:
     from benchmarks.capacity.slopes import Slope
@@ -224,7 +227,9 @@
 
 def appends(size: Size) -> float:
     """Return appends a second of the fleet for claims, and for their ends."""
-    return min(2 * size.claims, APPENDS_BUDGET, size.nodes / APPEND_GAP)
+    return min(
+        2 * size.claims, MAX_FLEET_APPENDS_PER_SECOND, size.nodes / MIN_APPEND_INTERVAL
+    )
 
 
 def _metrics(slopes: dict[str, Slope]) -> Cost:
--- a/benchmarks/emulation/run.py
+++ b/benchmarks/emulation/run.py
@@ -359,7 +359,7 @@
         request = self.requests[run.name]
         kind = request.kind
         scheduler = self._scheduler_of(run.name)
-        scheduler.ended(CallId(run.name), Outcome.WHOLE, now)
+        scheduler.ended(CallId(run.name), Outcome.COMPLETE, now)
         result = self.results[kind.name]
         worth = self._worth(request)
         if run.first_at - request.first_asked <= kind.objective:
--- a/carawayfold/application.py
+++ b/carawayfold/application.py
@@ -28,7 +28,10 @@
     pack,
     unpack,
 )
-from carawayfold.coordination.requests.calls import CallHandler, registration
+from carawayfold.coordination.requests.calls import (
+    CallHandler,
+    endpoint_from_configuration,
+)
 from carawayfold.coordination.requests.claims import Claims
 from carawayfold.coordination.slots.dispatch import Dispatcher
 from carawayfold.coordination.slots.exchange import Exchange
@@ -198,7 +201,9 @@
     async def run(self) -> None:
         """Run until the router has been stopped."""
         self.root.attach()
-        peer = PeerService(self.links, self.follower, pack, self.calls.once.outcome_of)
+        peer = PeerService(
+            self.links, self.follower, pack, self.calls.at_most_once.outcome_of
+        )
         admin = AdminService(self, OperatorGate(self.settings))
         async with RpcServer(self.settings, peer, admin) as rpc:
             self._handle_signals()
@@ -243,7 +248,7 @@
 
     def _endpoint_registration(self, name: EndpointId) -> Endpoint | None:
         endpoint = self.view.endpoints.get(name)
-        return registration(endpoint) if endpoint is not None else None
+        return endpoint_from_configuration(endpoint) if endpoint is not None else None
 
     def _send_verdicts(self, link: Link) -> None:
         """Send the known verdicts to a router that has just been linked."""
@@ -362,7 +367,7 @@
         routers = [item for item in instances if item.role == "router"]
         leaving = {item.id for item in instances if item.state == "leaving"}
         large = len(routers) > self.settings.mesh_limit
-        self.claims.share_budget(len(routers))
+        self.claims.limit_append_rate(len(routers))
         if (leaving, large) != (self.leaving, self.large):
             self.leaving, self.large = leaving, large
             self.apply_configuration()
--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -223,7 +223,7 @@
             self.endpoint, self.answer_head, self.started
         )
         if self.answer_head.rest:
-            self.forwarder.withdraw_barred()
+            self.forwarder.withdraw_unusable()
         streaming = self.call.route.kind is RouteKind.STREAMING
         if streaming and self.answer_head.status in SUCCESS_STATUSES:
             self.events = NumberedEvents(self.call.resume_after)
@@ -274,7 +274,7 @@
             return self._complete_stream()
         if self.forwarding_body:
             self.call.incoming.end()
-            return AttemptEnd.WHOLE
+            return AttemptEnd.COMPLETE
         if answer_head.not_run:
             self.reason = f"not run, status {answer_head.status}"
             return AttemptEnd.REJECTED
@@ -290,7 +290,7 @@
             self.reason = f"status {answer_head.status} to a resumption"
             return AttemptEnd.BROKEN
         self.forwarder.answer(self.call, answer_head, b"".join(self.body))
-        return AttemptEnd.WHOLE
+        return AttemptEnd.COMPLETE
 
     def _may_retry_error(self) -> bool:
         call = self.call
@@ -307,7 +307,7 @@
         if not self.call.attempts.answer_started:
             self.forwarder.begin(self.call, self.answer_head)
         self.call.incoming.end()
-        return AttemptEnd.WHOLE
+        return AttemptEnd.COMPLETE
 
     def _exchange_failed(self) -> AttemptEnd:
         if self.answer_head is not None and self.answer_head.not_run:
--- a/carawayfold/coordination/requests/calls.py
+++ b/carawayfold/coordination/requests/calls.py
@@ -9,7 +9,7 @@
 import logbook
 
 from carawayfold.coordination.containment.crash_reports import LostAttempt
-from carawayfold.coordination.requests.once import AtMostOnceRunner
+from carawayfold.coordination.requests.at_most_once import AtMostOnceRunner
 from carawayfold.coordination.requests.relay import (
     DECLINED_STATUSES,
     CompleteAnswer,
@@ -27,8 +27,8 @@
     from circuits.web.wrappers import Request, Response
 
     from carawayfold.coordination.containment.containment import Containment
+    from carawayfold.coordination.requests.at_most_once import AskOwner
     from carawayfold.coordination.requests.claims import Claims, OwnClaim
-    from carawayfold.coordination.requests.once import AskOwner
     from carawayfold.coordination.slots.dispatch import Dispatcher
     from carawayfold.coordination.slots.health import EndpointHealthTracker
     from carawayfold.protocol.callers import CallerRequest
@@ -83,7 +83,7 @@
     service: Service
     arrived: float
     deadline: float
-    once: bool
+    at_most_once: bool
     task: asyncio.Task[None] | None = None
     relay: Relay | None = None
     claim: OwnClaim | None = None
@@ -114,7 +114,7 @@
         self.refusal = refusal
 
 
-def registration(endpoint: ConfiguredEndpoint) -> Endpoint:
+def endpoint_from_configuration(endpoint: ConfiguredEndpoint) -> Endpoint:
     """Return a configured endpoint in the form of a registered one."""
     return Endpoint(
         EndpointName(endpoint.id),
@@ -214,7 +214,7 @@
         containment: Containment,
     ) -> None:
         self.containment = containment
-        self.once = AtMostOnceRunner(claims, ask_owner, self.attempt)
+        self.at_most_once = AtMostOnceRunner(claims, ask_owner, self.attempt)
         self.settings = settings
         self.view = view
         self.dispatcher = dispatcher
@@ -254,8 +254,10 @@
             raise Refusal(ErrorKind.UNKNOWN_SERVICE, "another path serves this one")
         now = asyncio.get_running_loop().time()
         deadline = now + (parsed.timeout or self.settings.deadline)
-        once = bool(parsed.idempotency_key) or not service.repeatable
-        call = Call(parsed, response, organisation, service, now, deadline, once)
+        at_most_once = bool(parsed.idempotency_key) or not service.repeatable
+        call = Call(
+            parsed, response, organisation, service, now, deadline, at_most_once
+        )
         self.containment.reject_harmful(call)
         return call
 
@@ -277,7 +279,7 @@
 
     async def _answer(self, call: Call) -> CompleteAnswer:
         if call.has_idempotency_key:
-            return await self.once.run(call)
+            return await self.at_most_once.run(call)
         return await self.attempt(call)
 
     async def attempt(self, call: Call) -> CompleteAnswer:
@@ -342,7 +344,7 @@
 
     def _build_relay(self, call: Call, endpoint: EndpointId) -> Relay:
         configured = self.view.endpoints.get(endpoint)
-        if call.claim is not None and not self.once.claims.may_send(call.claim):
+        if call.claim is not None and not self.at_most_once.claims.may_send(call.claim):
             raise Refusal(ErrorKind.LOG_UNAVAILABLE, "the claim has lapsed")
         if configured is None:
             raise Refusal(ErrorKind.NO_ENDPOINT, "the endpoint was removed")
@@ -353,7 +355,7 @@
             call.request,
             call.response,
             Address(configured.host, configured.port),
-            call.once,
+            call.at_most_once,
         )
 
     def _check_answer(
@@ -374,7 +376,7 @@
             return answer
         if answer.status in DECLINED_STATUSES:
             raise Refusal(ErrorKind.ENDPOINT_FAILED, "the endpoint declined")
-        if call.once:
+        if call.at_most_once:
             return answer
         detail = f"the endpoint answered {answer.status}"
         raise Refusal(ErrorKind.ENDPOINT_FAILED, detail, Ran.UNKNOWN)
@@ -390,7 +392,7 @@
             return False
         if call.relay is not None and call.relay.answer_started:
             return False
-        if refusal.ran is not Ran.NO and call.once:
+        if refusal.ran is not Ran.NO and call.at_most_once:
             return False
         return self.budget.try_spend()
 
@@ -423,7 +425,7 @@
             return
         now = asyncio.get_running_loop().time()
         answer_started = call.relay is not None and call.relay.answer_started
-        registered = registration(configured)
+        registered = endpoint_from_configuration(configured)
         started = call.relay.started_at if call.relay is not None else None
         loss = LostAttempt(
             call.content, call.organisation, registered, now, answer_started, started
--- a/carawayfold/coordination/requests/claims.py
+++ b/carawayfold/coordination/requests/claims.py
@@ -32,9 +32,9 @@
 #: Seconds that a request waits for the log to decide its claim.
 CLAIM_TIMEOUT = 3.0
 #: Least seconds between two appends by one router.
-APPEND_GAP = 0.02
+MIN_APPEND_INTERVAL = 0.02
 #: Appends a second that all routers of the fleet together may make for claims.
-APPENDS_BUDGET = 300.0
+MAX_FLEET_APPENDS_PER_SECOND = 300.0
 #: Seconds for which the end of a claim waits to be appended in one batch with others.
 END_BATCH_DELAY = 0.5
 #: Seconds after winning a claim within which its request must be sent. A router whose
@@ -116,7 +116,7 @@
         self.book = ClaimBook(retention)
         self.answers = AnswerStore(MAX_STORED_ANSWER_BYTES)
         self.caught_up = False
-        self.append_interval = APPEND_GAP
+        self.append_interval = MIN_APPEND_INTERVAL
         self.position = 0
         self.sequence = 0
         #: Claims that the log has not decided yet, by sequence number.
@@ -227,9 +227,11 @@
                 await asyncio.sleep(RETRY_WAIT)
             await asyncio.sleep(self.append_interval)
 
-    def share_budget(self, routers: int) -> None:
+    def limit_append_rate(self, routers: int) -> None:
         """Set the append interval so that `routers` together keep the fleet's limit."""
-        self.append_interval = max(APPEND_GAP, routers / APPENDS_BUDGET)
+        self.append_interval = max(
+            MIN_APPEND_INTERVAL, routers / MAX_FLEET_APPENDS_PER_SECOND
+        )
 
     async def _append_batch(self) -> None:
         claims = [claim for claim in self.open.values() if not claim.holder.done()]
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -67,7 +67,7 @@
 
 #: Outcome reported to the scheduler for each end of an attempt.
 ATTEMPT_OUTCOMES = {
-    AttemptEnd.WHOLE: Outcome.WHOLE,
+    AttemptEnd.COMPLETE: Outcome.COMPLETE,
     AttemptEnd.REJECTED: Outcome.NOT_RUN,
     AttemptEnd.ERROR_ANSWER: Outcome.FAILED,
     AttemptEnd.BROKEN: Outcome.FAILED,
@@ -227,7 +227,7 @@
         self.regions = regions
         self.loop = asyncio.get_running_loop()
         #: Routes of the configuration in force; None until one is known.
-        self.index: RouteIndex | None = None
+        self.route_index: RouteIndex | None = None
         #: Source of that configuration and the time since which it is in force.
         self.in_force: InForce | None = None
         self.patience: dict[RouteId, Patience] = {}
@@ -236,7 +236,7 @@
     @property
     def version(self) -> int:
         """Return the version of the configuration in force, 0 for none."""
-        return self.index.table.version if self.index is not None else 0
+        return self.route_index.table.version if self.route_index is not None else 0
 
     # Accepting a request
 
@@ -257,11 +257,11 @@
         incoming.on_gone = task.cancel
 
     def _open_call(self, incoming: Incoming, parsed: Asked) -> ForwardedCall:
-        if self.index is None:
+        if self.route_index is None:
             raise Refusal(ErrorKind.NOT_READY)
-        routes = self.index.table
+        routes = self.route_index.table
         path = incoming.target.partition(b"?")[0]
-        route = self.index.find(parsed.host, path)
+        route = self.route_index.find(parsed.host, path)
         if route is None:
             raise Refusal(ErrorKind.UNKNOWN_ROUTE)
         organisation = self._organisation(routes, route, parsed)
@@ -334,7 +334,7 @@
             end = await self._attempt(call, granted)
             if end is AttemptEnd.WITHDRAWN:
                 continue
-            if end is AttemptEnd.WHOLE:
+            if end is AttemptEnd.COMPLETE:
                 self.containment.record_success(call, call.incoming.body)
                 self._log_end(call, "whole")
                 return
@@ -421,7 +421,7 @@
                 call.attempts.may_have_run += 1
             call.attempt = None
             self._report_endpoint_loss(call, attempt, outcome)
-        if end is not AttemptEnd.WHOLE:
+        if end is not AttemptEnd.COMPLETE:
             self._log_attempt(call, end, attempt)
         return end
 
@@ -461,7 +461,7 @@
             return None
         return copy_source if self._is_allowed(call, copy_source) else None
 
-    def withdraw_barred(self) -> None:
+    def withdraw_unusable(self) -> None:
         """Withdraw unsent attempts at endpoints that accept no more requests."""
         for call in list(self.calls):
             attempt = call.attempt
@@ -559,7 +559,7 @@
         )
         self.containment.reports.note(loss)
 
-    def stop_content(self, content: ContentId) -> None:
+    def stop_quarantined(self, content: ContentId) -> None:
         """Stop the attempts that carry a content which was just quarantined."""
         organisation = self.containment.quarantine.get(content).organisation
         for call in list(self.calls):
--- a/carawayfold/coordination/requests/relay.py
+++ b/carawayfold/coordination/requests/relay.py
@@ -96,9 +96,9 @@
         request: CallerRequest,
         response: Response,
         address: Address,
-        once: bool,
+        at_most_once: bool,
     ) -> None:
-        self.once = once
+        self.at_most_once = at_most_once
         self.http = http
         self.edge = edge
         self.settings = settings
@@ -169,7 +169,7 @@
             body,
             self._on_head,
             self._on_data,
-            fresh=self.once,
+            fresh=self.at_most_once,
         )
         exchange = self.connection.exchange
         try:
--- a/carawayfold/coordination/requests/repeats.py
+++ b/carawayfold/coordination/requests/repeats.py
@@ -23,7 +23,7 @@
     """
 
     #: The answer was complete and went to the caller.
-    WHOLE = "whole"
+    COMPLETE = "whole"
     #: The endpoint stated that it did not run the request.
     REJECTED = "rejected"
     #: The endpoint answered with an error status, and a retry is allowed.
--- a/carawayfold/coordination/scheduling/offers.py
+++ b/carawayfold/coordination/scheduling/offers.py
@@ -125,7 +125,7 @@
 class Outcome(Enum):
     """How an attempt at an endpoint ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     CANCELLED = "cancelled"
     NOT_RUN = "not-run"
     FAILED = "failed"
--- a/carawayfold/coordination/scheduling/scheduler.py
+++ b/carawayfold/coordination/scheduling/scheduler.py
@@ -346,7 +346,7 @@
         active = load.remove(call)
         if active is None:
             return
-        if outcome is Outcome.WHOLE:
+        if outcome is Outcome.COMPLETE:
             load.record_residence(now - active.since)
         if outcome is Outcome.LEAVING:
             self.suspend(load.endpoint.id, now)
@@ -357,7 +357,7 @@
             )
             return
         if outcome is not Outcome.CANCELLED:
-            load.record_attempt(outcome is not Outcome.WHOLE, now)
+            load.record_attempt(outcome is not Outcome.COMPLETE, now)
         if outcome is Outcome.SILENT:
             self._suspend(load, now)
         if outcome is Outcome.UNREACHABLE:
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -147,7 +147,7 @@
             probe,
             self.directory,
             self._spawn,
-            lambda content: self.forwarder.stop_content(content),
+            lambda content: self.forwarder.stop_quarantined(content),
             self.coordinator.suspend_endpoint,
         )
         self.forwarder = Forwarder(
@@ -381,7 +381,7 @@
         self.anti_entropy.wake()
 
     def _on_routes(self, table: RouteTable) -> None:
-        self.forwarder.index = RouteIndex(table)
+        self.forwarder.route_index = RouteIndex(table)
         self.forwarder.in_force = self.knowledge.in_force
         limits = table.limits
         self.front.limits = EdgeLimits(
@@ -404,7 +404,7 @@
             for endpoint in removed:
                 self.http.drop_idle(endpoint.address)
                 self.containment.endpoint_removed(endpoint)
-            self.forwarder.withdraw_barred()
+            self.forwarder.withdraw_unusable()
             self.caches.query_new_engines()
 
     def is_ready(self) -> bool:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -142,4 +142,6 @@
 def call():
     """Return a call of a repeatable request."""
     request = CallerRequest("id", "key", "survey", "POST", "/", [], b"")
-    return Call(request, None, "alder", Service("survey"), 0.0, 60.0, once=False)
+    return Call(
+        request, None, "alder", Service("survey"), 0.0, 60.0, at_most_once=False
+    )
--- a/tests/coordination/scheduling/test_account.py
+++ b/tests/coordination/scheduling/test_account.py
@@ -44,7 +44,7 @@
         for step in range(round(SECONDS / STEP)):
             now = 1.0 + step * STEP
             for call, at in [item for item in self.ends if item[1] <= now]:
-                self.made.ended(call, Outcome.WHOLE, at)
+                self.made.ended(call, Outcome.COMPLETE, at)
                 self.ends.remove((call, at))
             self._offer_all(step, now)
             if step % self.late == 0:
--- a/tests/coordination/scheduling/test_desk.py
+++ b/tests/coordination/scheduling/test_desk.py
@@ -304,7 +304,7 @@
         await asyncio.sleep(0.05)
         assert not waiting.done()
         made[other].begun(granted.call, 0.01)
-        made[other].ended(granted.call, Outcome.WHOLE)
+        made[other].ended(granted.call, Outcome.COMPLETE)
         return await waiting
 
     assert isinstance(play(work), Granted)
--- a/tests/coordination/scheduling/test_held_back.py
+++ b/tests/coordination/scheduling/test_held_back.py
@@ -96,7 +96,7 @@
         for decision in made.decide(now):
             if isinstance(decision, Granted):
                 made.begun(decision.call, 0.05)
-                made.ended(decision.call, Outcome.WHOLE, now + 0.05)
+                made.ended(decision.call, Outcome.COMPLETE, now + 0.05)
     return made, now
 
 
--- a/tests/coordination/scheduling/test_scheduler.py
+++ b/tests/coordination/scheduling/test_scheduler.py
@@ -47,7 +47,7 @@
             decide(pool, 1.0 + number, offer(call, "topic", 5000, now=1.0 + number))
         )
         pool.begun(call, 0.1)
-        pool.ended(call, Outcome.WHOLE, 1.5 + number)
+        pool.ended(call, Outcome.COMPLETE, 1.5 + number)
         assert again[call] == first["r.0.1"]
 
 
@@ -158,7 +158,7 @@
         for call in granted(pool.decide(now)):
             counts[call.partition(".")[0]] += 1
             pool.begun(call, 0.03)
-            pool.ended(call, Outcome.WHOLE, now)
+            pool.ended(call, Outcome.COMPLETE, now)
     assert min(counts.values()) > 0.3 * max(counts.values())
 
 
@@ -183,7 +183,7 @@
         for call in granted(pool.decide(now)):
             served[call.partition(".")[0]] += 1
             pool.begun(call, 0.03)
-            pool.ended(call, Outcome.WHOLE, now)
+            pool.ended(call, Outcome.COMPLETE, now)
     assert served["dear"] > 0.25 * served["cheap"]
 
 
@@ -213,7 +213,7 @@
         place = granted(decide(pool, now, offer(call, f"t{number}", 10, 100, now=now)))
         pool.begun(call, 0.05)
         bad = place[call] == "e-0"
-        pool.ended(call, Outcome.FAILED if bad else Outcome.WHOLE, now + 0.01)
+        pool.ended(call, Outcome.FAILED if bad else Outcome.COMPLETE, now + 0.01)
         places.append(place[call])
     assert places.count("e-0") < places.count("e-1") / 3
 
@@ -291,7 +291,7 @@
             for decision in made.decide(now):
                 assert isinstance(decision, Granted)
                 at_once += now - offered[decision.call] <= 0.01
-                outcome = Outcome.WHOLE
+                outcome = Outcome.COMPLETE
                 if draw.random() < error_rate:
                     outcome = Outcome.FAILED
                 length = draw.uniform(0.02, 0.07)
--- a/tests/coordination/scheduling/test_slow_start.py
+++ b/tests/coordination/scheduling/test_slow_start.py
@@ -50,7 +50,7 @@
             if isinstance(decision, Granted):
                 got[decision.endpoint].append(now)
                 made.begun(decision.call, 0.01)
-                made.ended(decision.call, Outcome.WHOLE, now + 0.01)
+                made.ended(decision.call, Outcome.COMPLETE, now + 0.01)
         now += step
     return got
 
@@ -125,5 +125,5 @@
 
 @pytest.mark.parametrize("word", ["warming", "whole", "a-later-word"])
 def test_outcomes_of_a_later_version_do_not_count_as_failures(word):
-    known = {"warming": Outcome.WARMING, "whole": Outcome.WHOLE}
+    known = {"warming": Outcome.WARMING, "whole": Outcome.COMPLETE}
     assert Outcome(word) is known.get(word, Outcome.CANCELLED)
--- a/tests/simulated_deciders.py
+++ b/tests/simulated_deciders.py
@@ -458,7 +458,7 @@
                 waited = self.loop.time() - sent
                 router.clock.submit(router.coordinator.begun, decision.call, waited)
                 stayed = await engine.stays(RESIDENCE * self.draw.uniform(0.5, 1.5))
-            outcome = Outcome.WHOLE if stayed else Outcome.FAILED
+            outcome = Outcome.COMPLETE if stayed else Outcome.FAILED
             return True
         finally:
             router.clock.submit(router.coordinator.ended, decision.call, outcome)
--- a/tests/simulated_pools.py
+++ b/tests/simulated_pools.py
@@ -97,7 +97,7 @@
             self.reread += prefix not in self.seen
             self.seen.add(prefix)
             self.made[name].begun(decision.call, 0.03)
-            self.made[name].ended(decision.call, Outcome.WHOLE, now)
+            self.made[name].ended(decision.call, Outcome.COMPLETE, now)
             return
         further = choose_fallback_pool(self.weights, asked, decision.call)
         if further is not None and len(asked) <= self.further:
