--- a/benchmarks/capacity/inside.py
+++ b/benchmarks/capacity/inside.py
@@ -16,7 +16,7 @@
 from carawayfold.coordination.slots.pools import build_pools
 from carawayfold.protocol import peer_pb2
 from carawayfold.protocol.names import NameTable
-from carawayfold.state.claims import Batch, ClaimBook, ClaimRecord, batch_encoder
+from carawayfold.state.claims import Batch, ClaimRecord, ClaimTable, batch_encoder
 from carawayfold.state.configuration import (
     ApiKey,
     Change,
@@ -29,7 +29,7 @@
 from carawayfold.state.ids import EndpointId, OrganisationId, PoolId, RouterId
 from carawayfold.state.ledger import ServiceLedger
 from carawayfold.state.metrics import Metrics
-from carawayfold.state.service_rows import OwnRows, RowCursor
+from carawayfold.state.service_rows import LocalRows, RowCursor
 from carawayfold.state.view import ConfigView, hash_key
 
 if TYPE_CHECKING:
@@ -147,10 +147,10 @@
 
     first, later, memory, heard, tidy = [], [], [], [], []
     for count in ORGANISATIONS:
-        rows = OwnRows(lambda: 0.0)
+        rows = LocalRows(lambda: 0.0)
         book = ServiceAccounts(RouterId("router"), rows, lambda _: 1.0)
 
-        def change(count: int = count, rows: OwnRows = rows) -> None:
+        def change(count: int = count, rows: LocalRows = rows) -> None:
             for number in range(count):
                 rows.change("model", name_of(number), 1, 12345.0, 1)
 
@@ -165,7 +165,7 @@
             frame = peer_pb2.Frame()
             book.write(frame, names, cursor)
             sizes.append(float(frame.ByteSize()))
-        peer = ServiceAccounts(RouterId("other"), OwnRows(lambda: 0.0), lambda _: 1.0)
+        peer = ServiceAccounts(RouterId("other"), LocalRows(lambda: 0.0), lambda _: 1.0)
         names, cursor = NameTable(), RowCursor()
         frame = peer_pb2.Frame()
         book.write(frame, names, cursor)
@@ -199,9 +199,9 @@
             Batch("router-1", 1, [claim(start + n) for n in range(10)], [])
             for start in range(0, count, 10)
         ]
-        book = ClaimBook(1e9)
+        book = ClaimTable(1e9)
 
-        def take(book: ClaimBook = book, batches: list[Batch] = batches) -> None:
+        def take(book: ClaimTable = book, batches: list[Batch] = batches) -> None:
             for batch in batches:
                 for _ in book.apply(batch, 0.0):
                     pass
@@ -209,7 +209,7 @@
         start = time.process_time()
         memory.append(bytes_of(take)[0])
         del start
-        book = ClaimBook(1e9)
+        book = ClaimTable(1e9)
         apply.append(1e6 * seconds_of(lambda book=book: take(book), rounds=1))
         encoded.append(float(sum(len(batch_encoder.encode(b)) for b in batches)))
     return [
--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -18,7 +18,7 @@
 #: Heartbeats a second at which the slopes were measured (setting ``exchange``).
 BEATS = 5.0
 #: Seconds for which a peer's idle row is kept.
-SEEN_LIFETIME = 30.0
+PEER_ROW_TIMEOUT = 30.0
 #: Seconds for which a key is remembered (setting ``key_lifetime``).
 KEY_LIFETIME = 900
 #: Bytes of one change on the log, and of its base64 form in a read.
@@ -63,7 +63,7 @@
     @property
     def rows(self) -> float:
         """Return the rows a node keeps of itself, or of one peer, at most."""
-        return min(self.organisations, self.node_requests * SEEN_LIFETIME)
+        return min(self.organisations, self.node_requests * PEER_ROW_TIMEOUT)
 
     @property
     def node_requests(self) -> float:
--- a/benchmarks/emulation/engine.py
+++ b/benchmarks/emulation/engine.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from carawayfold.protocol.exchanges import Part
-from carawayfold.state.prefixes import KeptPrefixes
+from carawayfold.state.prefixes import PrefixCache
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,10 +93,10 @@
     reread_tokens: int = 0
     copied_tokens: int = 0
     busy: float = 0.0
-    prefixes: KeptPrefixes = field(init=False)
+    prefixes: PrefixCache = field(init=False)
 
     def __post_init__(self) -> None:
-        self.prefixes = KeptPrefixes(self.model.memory_tokens)
+        self.prefixes = PrefixCache(self.model.memory_tokens)
 
     @property
     def running(self) -> int:
@@ -120,7 +120,7 @@
         self.waiting.clear()
         self.reading.clear()
         self.making.clear()
-        self.prefixes = KeptPrefixes(self.model.memory_tokens)
+        self.prefixes = PrefixCache(self.model.memory_tokens)
         return lost
 
     def advance(self, until: float) -> tuple[list[Run], list[Run]]:
--- a/benchmarks/emulation/harm.py
+++ b/benchmarks/emulation/harm.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from carawayfold.state.budget import BudgetBounds, RetryBudget
-from carawayfold.state.crashes import QUARANTINED_AT
+from carawayfold.state.crashes import MIN_QUARANTINE_WEIGHT
 from carawayfold.state.ids import ServiceId
 
 SERVICE = ServiceId("model")
@@ -89,7 +89,7 @@
 
     def is_refused(self, content: str) -> bool:
         """Return whether a content is kept from the engines, and count it."""
-        known = self.plan.contained and self.ends[content] >= QUARANTINED_AT
+        known = self.plan.contained and self.ends[content] >= MIN_QUARANTINE_WEIGHT
         self.refused += known
         return known
 
--- a/carawayfold/application.py
+++ b/carawayfold/application.py
@@ -52,7 +52,7 @@
 from carawayfold.settings import Address
 from carawayfold.state.ids import DataCentreId, RouterId
 from carawayfold.state.metrics import Metrics
-from carawayfold.state.service_rows import OwnRows
+from carawayfold.state.service_rows import LocalRows
 from carawayfold.state.view import ConfigView
 from carawayfold.transport.client import HttpClient
 from carawayfold.transport.links import CHANNEL_OPTIONS, Links
@@ -133,7 +133,7 @@
             self.clock,
             max(MIN_SILENCE_TIMEOUT, MISSED_HEARTBEATS_LIMIT * settings.exchange),
         )
-        self.rows = OwnRows(self.clock)
+        self.rows = LocalRows(self.clock)
         self.metrics = Metrics()
         self.health = EndpointHealthTracker(self.clock)
         self.config_log = LogClient(self.http, settings.log, CONFIG_STREAM)
--- a/carawayfold/coordination/containment/containment.py
+++ b/carawayfold/coordination/containment/containment.py
@@ -30,21 +30,21 @@
     VerdictMessage,
 )
 from carawayfold.state.crashes import (
-    SUSPECTED_AT,
+    MIN_SUSPECT_CRASHES,
     Crash,
-    CrashBook,
-    Departures,
+    CrashTable,
+    Deregistrations,
     level_for,
 )
 from carawayfold.state.ids import EndpointId, RouterId
 from carawayfold.state.quarantine import (
-    REFUSED_FOR,
-    REMEMBERED_FOR,
+    REJECTION_DURATIONS,
+    RETENTION_DURATION,
     Entry,
     Level,
     Quarantine,
 )
-from carawayfold.state.well_runs import SPEAKS_FOR, WellRuns
+from carawayfold.state.well_runs import SUCCESS_EVIDENCE_DURATION, SuccessfulRuns
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Coroutine, Iterable
@@ -131,8 +131,8 @@
         self.on_lost = on_lost
         self.loop = asyncio.get_running_loop()
         self.quarantine = Quarantine()
-        self.book = CrashBook()
-        self.departures = Departures()
+        self.book = CrashTable()
+        self.departures = Deregistrations()
         self.reports = CrashReports(
             fleet,
             endpoint_activity,
@@ -141,7 +141,7 @@
             self._on_endpoint_lost,
             spawn,
         )
-        self.well_runs = WellRuns()
+        self.well_runs = SuccessfulRuns()
         #: Endpoints that ended while serving a harmful content, with that content.
         self.attributed: dict[EndpointId, ContentId] = {}
         #: Endpoints that have ended, with the loop time of the report.
@@ -197,9 +197,9 @@
         Refusal
             ``harmful-request``; this call has not been executed.
         """
-        if not self.quarantine.concerns(call.organisation):
+        if not self.quarantine.has_contents_of(call.organisation):
             return
-        held = self.quarantine.held_for(call.content, self.loop.time())
+        held = self.quarantine.rejection_remaining(call.content, self.loop.time())
         if held:
             ended = len(self.quarantine.get(call.content).endpoints)
             detail = f"{ended} endpoints ended under it; it is refused for a while"
@@ -208,15 +208,15 @@
 
     def is_suspected(self, call: RequestIdentity) -> bool:
         """Return whether a request is suspected and so is sent once a call."""
-        if not self.quarantine.concerns(call.organisation):
+        if not self.quarantine.has_contents_of(call.organisation):
             return False
         return self.quarantine.is_suspected(call.content)
 
     def record_success(self, call: RequestIdentity, body: bytes) -> None:
         """Record a successful request if the record can affect a verdict."""
         now = self.loop.time()
-        concerned = self.quarantine.concerns(call.organisation)
-        if concerned or self.well_runs.wants(body, now):
+        concerned = self.quarantine.has_contents_of(call.organisation)
+        if concerned or self.well_runs.should_record(body, now):
             self.record_content_success(call.content, call.organisation)
 
     def record_content_success(
@@ -280,7 +280,10 @@
         if now - self.last_expiry_at >= EXPIRY_INTERVAL:
             self._expire(now)
         for content, case in list(self.book.cases.items()):
-            if len(case.crashes) >= SUSPECTED_AT or content in self.quarantine.entries:
+            if (
+                len(case.crashes) >= MIN_SUSPECT_CRASHES
+                or content in self.quarantine.entries
+            ):
                 self._update_verdict(content)
 
     def _expire(self, now: float) -> None:
@@ -368,9 +371,9 @@
             return
         case = self.book.cases[content]
         ended = self._ended_endpoints(content)
-        if ended == case.judged:
+        if ended == case.judged_weights:
             return
-        case.judged = ended
+        case.judged_weights = ended
         known = self.quarantine.get(content)
         since = self._first_crash_at(content)
         weights = dict(ended)
@@ -408,7 +411,7 @@
             del self.attributed[next(iter(self.attributed))]
         now = self.loop.time()
         for content, case in list(self.book.cases.items()):
-            if content != verdict.content and case.is_companion(now):
+            if content != verdict.content and case.is_likely_harmless(now):
                 self._lower_verdict(content, now)
 
     def _ended_endpoints(self, content: ContentId) -> dict[EndpointId, float]:
@@ -419,11 +422,11 @@
         case = self.book.cases.get(content)
         if case is None:
             return {}
-        companion = case.is_companion(self.loop.time())
+        companion = case.is_likely_harmless(self.loop.time())
         return {
             name: crash.weight
             for name, crash in case.crashes.items()
-            if self.departures.has_ended(crash, self.registered(crash.endpoint))
+            if self.departures.has_crashed(crash, self.registered(crash.endpoint))
             and not (companion and self._is_attributed_elsewhere(name, content))
         }
 
@@ -436,7 +439,7 @@
         """Return whether a recent successful run of a content is known."""
         now = self.loop.time()
         case = self.book.cases.get(content)
-        if case is not None and now - case.ran_well_at < SPEAKS_FOR:
+        if case is not None and now - case.last_success_at < SUCCESS_EVIDENCE_DURATION:
             return True
         return self.well_runs.last(content, now) is not None
 
@@ -461,9 +464,9 @@
         if known is not None:
             # Keeps stamps increasing when the system clock is set back.
             stamp = max(stamp, known.stamp + 1)
-        held = now + REFUSED_FOR.get(level, 0.0)
+        held = now + REJECTION_DURATIONS.get(level, 0.0)
         named = tuple(sorted(endpoints)[:MAX_ENDPOINTS_PER_VERDICT])
-        forget = held + REMEMBERED_FOR
+        forget = held + RETENTION_DURATION
         entry = Entry(content, organisation, level, stamp, since, held, forget, named)
         self._accept_verdict(entry, self.fleet.own.router)
         self.fleet.send_to_all(self._verdict_message(entry))
@@ -473,7 +476,7 @@
         """Apply a verdict from any source; return whether it is newer."""
         if not self.quarantine.put(entry):
             return False
-        held = self.quarantine.held_for(entry.content, self.loop.time())
+        held = self.quarantine.rejection_remaining(entry.content, self.loop.time())
         logger.info(
             "verdict on a content",
             extra={
@@ -512,6 +515,6 @@
             entry.stamp,
             round((now - entry.since) * 1000),
             max(0, round((entry.held_until - now) * 1000)),
-            max(0, round((entry.forget_at - now) * 1000)),
+            max(0, round((entry.expires_at - now) * 1000)),
             list(entry.endpoints),
         )
--- a/carawayfold/coordination/containment/verdict_records.py
+++ b/carawayfold/coordination/containment/verdict_records.py
@@ -10,7 +10,7 @@
 
 from carawayfold.coordination.backoff import Backoff
 from carawayfold.protocol.sources import QuarantineRecord, SourceError
-from carawayfold.state.quarantine import REMEMBERED_FOR, Entry, Level
+from carawayfold.state.quarantine import RETENTION_DURATION, Entry, Level
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine, Iterable
@@ -69,10 +69,10 @@
                 record.stamp,
                 now + record.since - wall,
                 held,
-                held + REMEMBERED_FOR,
+                held + RETENTION_DURATION,
                 record.endpoints,
             )
-            if entry.forget_at > now:
+            if entry.expires_at > now:
                 entries.append(entry)
         return entries
 
--- a/carawayfold/coordination/knowledge/knowledge.py
+++ b/carawayfold/coordination/knowledge/knowledge.py
@@ -16,7 +16,7 @@
 from carawayfold.state.evacuations import EvacuationSnapshot, EvacuationTable
 from carawayfold.state.ids import DataCentreId, EndpointName, Position
 from carawayfold.state.positions import era_of, offset_of
-from carawayfold.state.routes import InForce
+from carawayfold.state.routes import ActiveConfiguration
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -122,7 +122,7 @@
         now = self.loop.time()
         self.store = StoreHealth(answered=now, registrations=now, operators=now)
         #: Version, source and time of the configuration in force; None without one.
-        self.in_force: InForce | None = None
+        self.in_force: ActiveConfiguration | None = None
 
     def _own_age(self) -> float:
         return self.loop.time() - self.store.registrations
@@ -179,7 +179,7 @@
         if self.age() > MIN_OUTAGE_AGE:
             self.last_outage_at = now
         if now - self.last_outage_at < RECOVERY_DETECTION_DURATION:
-            self.endpoints.note_outage(now)
+            self.endpoints.record_outage(now)
 
     def apply_routes(self, table: RouteTable, source: str) -> None:
         """Put a configuration in force if it is newer than the one in force."""
@@ -192,7 +192,7 @@
             "age_ms": round(self.operators_age() * 1000),
         }
         self.routes = table
-        self.in_force = InForce(table.version, source, self.loop.time())
+        self.in_force = ActiveConfiguration(table.version, source, self.loop.time())
         logger.info("configuration in force", extra=extra)
         self.on_routes(table)
 
@@ -219,7 +219,7 @@
     def merge_evacuations(self, snapshot: EvacuationSnapshot, source: RouterId) -> None:
         """Apply a peer's list of evacuated data centres if it has later changes."""
         before = self.evacuations.active
-        if self.evacuations.told(snapshot, self.loop.time()):
+        if self.evacuations.apply_snapshot(snapshot, self.loop.time()):
             self._evacuations_changed(before, source)
 
     def _evacuations_changed(self, before: set[DataCentreId], source: str) -> None:
@@ -350,7 +350,7 @@
             logger.warning("store came back from a copy", extra=extra)
             self.on_restore()
         if now < self.restored_until:
-            endpoints = self.endpoints.without_departed(endpoints, now)
+            endpoints = self.endpoints.without_deregistered(endpoints, now)
         self.endpoints.replace_all(endpoints, now, listed_by_store=source == "store")
         for name, known in self.endpoints.entries.items():
             old = before.get(name)
--- a/carawayfold/coordination/knowledge/notices.py
+++ b/carawayfold/coordination/knowledge/notices.py
@@ -27,7 +27,7 @@
     from carawayfold.protocol.datagrams import Datagram, Message
     from carawayfold.protocol.exchanges import Answered
     from carawayfold.state.endpoints import Endpoint
-    from carawayfold.state.rests import Rests
+    from carawayfold.state.rests import EndpointBackoffs
 
 logger = logbook.Logger(__name__)
 
@@ -53,7 +53,9 @@
         sending to them.
     """
 
-    def __init__(self, fleet: Fleet, knowledge: Knowledge, rests: Rests) -> None:
+    def __init__(
+        self, fleet: Fleet, knowledge: Knowledge, rests: EndpointBackoffs
+    ) -> None:
         self.fleet = fleet
         self.knowledge = knowledge
         self.rests = rests
@@ -64,7 +66,7 @@
     @property
     def checksum(self) -> int:
         """Return a checksum of the leaving endpoints known here, 0 for none."""
-        leaving_endpoints = self.knowledge.endpoints.said_leaving()
+        leaving_endpoints = self.knowledge.endpoints.announced_leaving()
         if not leaving_endpoints:
             return 0
         # 31 bits, so that it is encoded in five bytes.
@@ -91,7 +93,7 @@
         if not answered.rest:
             self.rests.answered(endpoint.id, sent_at)
             return
-        self.rests.ask(endpoint.id, answered.rest, self.loop.time())
+        self.rests.request_backoff(endpoint.id, answered.rest, self.loop.time())
         extra = {"endpoint": endpoint.id, "rest_s": answered.rest}
         logger.info("endpoint asks for rest", extra=extra)
 
@@ -137,7 +139,7 @@
             self.fleet.send(sender, LeavingChecksumMessage(checksum))
 
     def _send_all(self, router: RouterId) -> None:
-        leaving_endpoints = self.knowledge.endpoints.said_leaving()
+        leaving_endpoints = self.knowledge.endpoints.announced_leaving()
         for start in range(0, len(leaving_endpoints), MAX_ENDPOINTS_PER_MESSAGE):
             part = leaving_endpoints[start : start + MAX_ENDPOINTS_PER_MESSAGE]
             self.fleet.send(router, EndpointsLeavingMessage(part))
--- a/carawayfold/coordination/requests/claims.py
+++ b/carawayfold/coordination/requests/claims.py
@@ -14,10 +14,10 @@
     AnswerStore,
     Batch,
     Claim,
-    ClaimBook,
     ClaimEnd,
     ClaimId,
     ClaimRecord,
+    ClaimTable,
     EndRecord,
     batch_decoder,
     batch_encoder,
@@ -113,7 +113,7 @@
     def __init__(self, log: LogClient, own: Member, retention: float) -> None:
         self.log = log
         self.own = own
-        self.book = ClaimBook(retention)
+        self.book = ClaimTable(retention)
         self.answers = AnswerStore(MAX_STORED_ANSWER_BYTES)
         self.caught_up = False
         self.append_interval = MIN_APPEND_INTERVAL
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -26,7 +26,7 @@
 from carawayfold.errors import ErrorKind, Ran, Refusal
 from carawayfold.protocol import problem
 from carawayfold.state.contents import content_id
-from carawayfold.state.patience import Patience
+from carawayfold.state.patience import WaitEstimator
 from carawayfold.state.positions import offset_of
 from carawayfold.state.residency import allowed_data_centres
 from carawayfold.state.routes import ANONYMOUS
@@ -53,7 +53,12 @@
         RouterId,
         ServiceId,
     )
-    from carawayfold.state.routes import InForce, Route, RouteIndex, RouteTable
+    from carawayfold.state.routes import (
+        ActiveConfiguration,
+        Route,
+        RouteIndex,
+        RouteTable,
+    )
     from carawayfold.transport.client import HttpClient
     from carawayfold.transport.edge import Incoming
 
@@ -229,8 +234,8 @@
         #: Routes of the configuration in force; None until one is known.
         self.route_index: RouteIndex | None = None
         #: Source of that configuration and the time since which it is in force.
-        self.in_force: InForce | None = None
-        self.patience: dict[RouteId, Patience] = {}
+        self.in_force: ActiveConfiguration | None = None
+        self.patience: dict[RouteId, WaitEstimator] = {}
         self.calls: dict[ForwardedCall, asyncio.Task[None]] = {}
 
     @property
@@ -269,7 +274,7 @@
         left = DEFAULT_REQUEST_TIMEOUT if parsed.time_left is None else parsed.time_left
         # The time that a retrying caller has already waited counts against the
         # objective.
-        waited = self.patience.setdefault(route.id, Patience()).waited(left)
+        waited = self.patience.setdefault(route.id, WaitEstimator()).waited(left)
         allowed = allowed_data_centres(route, organisation, routes, self.regions)
         return ForwardedCall(
             incoming=incoming,
@@ -473,7 +478,7 @@
             if self.coordinator.is_excluded(endpoint):
                 call.skipped.add(endpoint.id)
                 attempt.withdraw(BlockReason.LEAVING)
-            elif self.coordinator.rests.lasts(endpoint.id, self.loop.time()):
+            elif self.coordinator.rests.is_backing_off(endpoint.id, self.loop.time()):
                 attempt.withdraw(BlockReason.RESTING)
 
     def _check_retry(self, call: ForwardedCall, end: AttemptEnd) -> None:
@@ -493,7 +498,7 @@
         now = self.loop.time()
         window = self.budget.window(call.service, routers, now)
         taken = self.budget.take(call.service, routers, now)
-        self.metrics.repeated(call.service, taken)
+        self.metrics.record_retry(call.service, taken)
         logger.info(
             "retrying at a further endpoint" if taken else "retry budget exhausted",
             extra={
--- a/carawayfold/coordination/requests/once.py
+++ b/carawayfold/coordination/requests/once.py
@@ -17,7 +17,7 @@
     Claim,
     ClaimEnd,
     StoredAnswer,
-    digest_of,
+    key_digest,
 )
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
             The request failed, or its key is held by another one; `ran` states whether
             it ran.
         """
-        digest = digest_of(call.organisation, call.request.idempotency_key)
+        digest = key_digest(call.organisation, call.request.idempotency_key)
         fingerprint = call.request.fingerprint
         held = self.claims.find(digest)
         if held is None:
--- a/carawayfold/coordination/scheduling/backlog.py
+++ b/carawayfold/coordination/scheduling/backlog.py
@@ -61,7 +61,7 @@
     id: EndpointId
     data_centre: DataCentreId
     speed: float
-    first_token: float
+    first_token_delay: float
     residence: float
     slots: float
     failure_ratio: float
@@ -95,7 +95,7 @@
             id=load.endpoint.id,
             data_centre=load.endpoint.data_centre,
             speed=load.first_tokens.speed,
-            first_token=load.first_tokens.first_token,
+            first_token_delay=load.first_tokens.first_token_delay,
             residence=load.residence,
             slots=load.endpoint.slots,
             failure_ratio=failure_ratio,
--- a/carawayfold/coordination/scheduling/caches.py
+++ b/carawayfold/coordination/scheduling/caches.py
@@ -76,7 +76,9 @@
             return
         now = self.loop.time()
         for endpoint, load in pool.scheduler.loads.items():
-            if endpoint in queried or self.coordinator.rests.lasts(endpoint, now):
+            if endpoint in queried or self.coordinator.rests.is_backing_off(
+                endpoint, now
+            ):
                 continue
             queried.add(endpoint)
             if (
--- a/carawayfold/coordination/scheduling/desk.py
+++ b/carawayfold/coordination/scheduling/desk.py
@@ -73,7 +73,7 @@
     RouterId,
     ServiceId,
 )
-from carawayfold.state.rests import Rests
+from carawayfold.state.rests import EndpointBackoffs
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
@@ -169,7 +169,7 @@
         #: Loop time at which this router was notified that each endpoint leaves.
         self.leaving_since: dict[EndpointName, float] = {}
         #: Endpoints that asked this router for a pause.
-        self.rests = Rests()
+        self.rests = EndpointBackoffs()
         self.sent_prefixes: OrderedDict[str, EndpointId] = OrderedDict()
         self.last_call_number = 0
         #: Loop time of the last log line on each router that doesn't answer.
@@ -287,7 +287,7 @@
             return BlockReason.LEAVING
         if self.is_evacuated(endpoint):
             return BlockReason.EVACUATED
-        if self.rests.opens_at(endpoint.id, self.loop.time()):
+        if self.rests.available_at(endpoint.id, self.loop.time()):
             return BlockReason.RESTING
         decider_knows = granted.basis.offset >= self.basis().offset
         if endpoint.is_warming(self.loop.time()) and not decider_knows:
@@ -301,7 +301,7 @@
             return {}
         now = self.loop.time()
         opens = {
-            endpoint: self.rests.opens_at(endpoint, now)
+            endpoint: self.rests.available_at(endpoint, now)
             for endpoint in pool_state.scheduler.loads
         }
         return {endpoint: at for endpoint, at in opens.items() if at}
--- a/carawayfold/coordination/scheduling/endpoint_load.py
+++ b/carawayfold/coordination/scheduling/endpoint_load.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from carawayfold.state.first_tokens import FirstTokenModel
-from carawayfold.state.prefixes import KeptPrefixes
+from carawayfold.state.prefixes import PrefixCache
 
 if TYPE_CHECKING:
     from carawayfold.protocol.exchanges import Part
@@ -107,11 +107,11 @@
     prefill_tokens: int = 0
     memory: int = 0
     active: dict[CallId, ActiveRequest] = field(default_factory=dict)
-    prefixes: KeptPrefixes = field(init=False)
+    prefixes: PrefixCache = field(init=False)
     first_tokens: FirstTokenModel = field(init=False)
 
     def __post_init__(self) -> None:
-        self.prefixes = KeptPrefixes(self.memory_tokens)
+        self.prefixes = PrefixCache(self.memory_tokens)
         self.first_tokens = FirstTokenModel(self.expected_speed)
 
     def add(self, active: ActiveRequest) -> None:
--- a/carawayfold/coordination/scheduling/placement.py
+++ b/carawayfold/coordination/scheduling/placement.py
@@ -176,7 +176,7 @@
     max_queued = backlog.speed * READ_AHEAD_DURATION
     if queued > max_queued:
         queued = max_queued
-    return (queued + prefill_tokens) / backlog.speed + backlog.first_token
+    return (queued + prefill_tokens) / backlog.speed + backlog.first_token_delay
 
 
 def _time_until_room(
--- a/carawayfold/coordination/scheduling/scheduler.py
+++ b/carawayfold/coordination/scheduling/scheduler.py
@@ -48,7 +48,7 @@
     compute_excess_failures,
     has_room,
 )
-from carawayfold.state.usage import UsageBook
+from carawayfold.state.usage import UsageTable
 
 if TYPE_CHECKING:
     from carawayfold.protocol.exchanges import Part
@@ -268,10 +268,10 @@
     overloaded: bool = False
     least_urgent: int = 0
     warm_up_allowed_from: float = 0.0
-    usage: UsageBook = field(init=False)
+    usage: UsageTable = field(init=False)
 
     def __post_init__(self) -> None:
-        self.usage = UsageBook(self.window)
+        self.usage = UsageTable(self.window)
 
     # Input
 
@@ -528,7 +528,7 @@
 
     def _fillable_share(self, offer: Offer) -> float:
         """Return the fraction of each endpoint that a request may fill."""
-        if self.usage.is_owed(offer.organisation, offer.charged_tokens):
+        if self.usage.is_within_share(offer.organisation, offer.charged_tokens):
             return self.plan.share
         return self.plan.share * BEYOND_SHARE_FRACTION
 
@@ -697,13 +697,15 @@
         return granted / offered if offered else 1.0
 
     def _rank(self, offer: Offer, overall: float, now: float) -> Rank:
-        within_share = self.usage.is_owed(offer.organisation, offer.charged_tokens)
+        within_share = self.usage.is_within_share(
+            offer.organisation, offer.charged_tokens
+        )
         late = now >= offer.due
         route_not_behind = (
             self.routes[offer.route].granted_ratio() >= MIN_SERVED_RATIO * overall
         )
         return Rank(
-            organisation_not_behind=not self.usage.is_behind(offer.organisation),
+            organisation_not_behind=not self.usage.is_underserved(offer.organisation),
             beyond_share=not within_share,
             late=late,
             priority=offer.priority,
--- a/carawayfold/coordination/scheduling/tallies.py
+++ b/carawayfold/coordination/scheduling/tallies.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from carawayfold.state.ids import PoolId
-    from carawayfold.state.usage import UsageBook
+    from carawayfold.state.usage import UsageTable
 
 logger = logbook.Logger(__name__)
 
@@ -85,7 +85,7 @@
         """Return whether log lines are due."""
         return self.loop.time() - self.since >= LOG_INTERVAL
 
-    def write(self, accounts: dict[PoolId, UsageBook], leading: set[PoolId]) -> None:
+    def write(self, accounts: dict[PoolId, UsageTable], leading: set[PoolId]) -> None:
         """Log a line on each pool with activity, and reset the counts.
 
         Parameters
@@ -112,7 +112,7 @@
         self,
         pool: PoolId,
         statistics: PoolStatistics,
-        account: UsageBook,
+        account: UsageTable,
         leads: bool,
         seconds: float,
     ) -> None:
@@ -133,7 +133,7 @@
                 "late_ms": round(statistics.max_delay * 1000, 1),
                 "organisations": [
                     [name, round(asked), round(granted)]
-                    for name, asked, granted in account.most_asked(
+                    for name, asked, granted in account.top_requesters(
                         MAX_NAMED_ORGANISATIONS
                     )
                 ],
--- a/carawayfold/coordination/slots/dispatch.py
+++ b/carawayfold/coordination/slots/dispatch.py
@@ -13,7 +13,7 @@
     from carawayfold.protocol.callers import CallerRequest
     from carawayfold.settings import Settings
     from carawayfold.state.ids import EndpointId, OrganisationId, ServiceId
-    from carawayfold.state.service_rows import OwnRows
+    from carawayfold.state.service_rows import LocalRows
 
 #: Seconds after which a grant is not used, counted from the report that it is based on.
 MAX_GRANT_AGE = 1.5
@@ -51,7 +51,7 @@
     def __init__(
         self,
         settings: Settings,
-        rows: OwnRows,
+        rows: LocalRows,
     ) -> None:
         self.settings = settings
         self.rows = rows
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -34,7 +34,7 @@
     from carawayfold.coordination.slots.pool import Decision, PoolSpec
     from carawayfold.protocol.datagrams import Datagram
     from carawayfold.settings import Settings
-    from carawayfold.state.service_rows import OwnRows
+    from carawayfold.state.service_rows import LocalRows
 
 logger = logbook.Logger(__name__)
 
@@ -91,7 +91,7 @@
         settings: Settings,
         membership: Membership,
         dispatcher: Dispatcher,
-        rows: OwnRows,
+        rows: LocalRows,
         health: EndpointHealthTracker,
         share_of: Callable[[OrganisationId], float],
         clock: Callable[[], float],
--- a/carawayfold/coordination/slots/pool.py
+++ b/carawayfold/coordination/slots/pool.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from carawayfold.state.ids import EndpointId, OrganisationId, PoolId, RouterId
-from carawayfold.state.order import RankOrder
+from carawayfold.state.order import RankHeap
 
 if TYPE_CHECKING:
     from carawayfold.protocol import peer_pb2
@@ -124,7 +124,7 @@
         #: Requests in each endpoint that no holder accounts for.
         self.foreign: dict[EndpointId, int] = {}
         self.sequence = 0
-        self.order = RankOrder()
+        self.order = RankHeap()
         #: Organisations whose rank may have become lower since it was last entered.
         self.possibly_lowered = ledger.watch()
 
@@ -227,14 +227,14 @@
             rank = self._rank(organisation)
             if rank > self.order.ranks[organisation]:
                 # Its rank rose since it was entered, so others may precede it.
-                self.order.enter(organisation, rank)
+                self.order.update_rank(organisation, rank)
             elif router := self._choose_holder(organisation, free):
                 if self.fair:
                     self.ledger.served(organisation)
                 decisions.append(self._grant(router, organisation, free))
-                self.order.enter(organisation, self._rank(organisation))
+                self.order.update_rank(organisation, self._rank(organisation))
             else:
-                self.order.leave(organisation)
+                self.order.remove_rank(organisation)
                 unreachable.append(organisation)
             organisation = self.order.first()
         for organisation in unreachable:
@@ -245,14 +245,14 @@
         while self.possibly_lowered:
             organisation = self.possibly_lowered.pop()
             if organisation in self.order.ranks:
-                self.order.enter(organisation, self._rank(organisation))
+                self.order.update_rank(organisation, self._rank(organisation))
 
     def _enter(self, organisation: OrganisationId) -> None:
         """Rank an organisation with work that has no grant, remove it otherwise."""
         if self._has_unmet(organisation):
-            self.order.enter(organisation, self._rank(organisation))
+            self.order.update_rank(organisation, self._rank(organisation))
         else:
-            self.order.leave(organisation)
+            self.order.remove_rank(organisation)
 
     def _has_unmet(self, organisation: OrganisationId) -> bool:
         return any(
--- a/carawayfold/coordination/slots/service_book.py
+++ b/carawayfold/coordination/slots/service_book.py
@@ -6,14 +6,14 @@
 
 from carawayfold.state.ids import OrganisationId, RouterId, ServiceId
 from carawayfold.state.ledger import ServiceLedger
-from carawayfold.state.service_rows import SEEN_LIFETIME, RowCursor, SeenRow
+from carawayfold.state.service_rows import PEER_ROW_TIMEOUT, PeerRow, RowCursor
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
 
     from carawayfold.protocol import peer_pb2
     from carawayfold.protocol.names import NameTable
-    from carawayfold.state.service_rows import OwnRow, OwnRows
+    from carawayfold.state.service_rows import LocalRow, LocalRows
 
 RowKey = tuple[ServiceId, OrganisationId]
 
@@ -34,14 +34,14 @@
     def __init__(
         self,
         own: RouterId,
-        rows: OwnRows,
+        rows: LocalRows,
         share_of: Callable[[OrganisationId], float],
     ) -> None:
         self.own = own
         self.rows = rows
         self.share_of = share_of
         self.ledgers: dict[ServiceId, ServiceLedger] = {}
-        self.seen: dict[RouterId, dict[RowKey, SeenRow]] = {own: {}}
+        self.seen: dict[RouterId, dict[RowKey, PeerRow]] = {own: {}}
         self.cursor = RowCursor()
 
     def ledger(self, service: ServiceId) -> ServiceLedger:
@@ -96,7 +96,7 @@
             organisation = OrganisationId(names.name(row.organisation))
             before = seen.pop((service, organisation), None)
             if before is None and first:
-                before = SeenRow(row.service, row.requests, born=row.born)
+                before = PeerRow(row.service, row.requests, born=row.born)
             before = _same_row(before, row)
             seen[service, organisation] = before
             self._enter(service, organisation, before, row, first)
@@ -114,8 +114,8 @@
         self,
         service: ServiceId,
         organisation: OrganisationId,
-        before: SeenRow,
-        row: peer_pb2.Row | OwnRow,
+        before: PeerRow,
+        row: peer_pb2.Row | LocalRow,
         catching_up: bool = False,
     ) -> None:
         """Charge the difference between a row and its previous state `before`."""
@@ -128,7 +128,7 @@
         before.service = row.service
         before.requests = row.requests
         before.in_flight = row.in_flight
-        before.heard = self.rows.clock()
+        before.updated_at = self.rows.clock()
 
     def restart(self, router: RouterId) -> None:
         """Reset the rows of a peer that has restarted with empty state."""
@@ -144,29 +144,29 @@
     def tidy(self, known: Collection[RouterId]) -> None:
         """Remove idle rows and accounts, and the rows of routers not in `known`."""
         self.rows.expire()
-        oldest = self.rows.clock() - SEEN_LIFETIME
+        oldest = self.rows.clock() - PEER_ROW_TIMEOUT
         for rows in self.seen.values():
             _expire(rows, oldest)
         for router in list(self.seen):
             if router not in known:
                 del self.seen[router]
         for ledger in self.ledgers.values():
-            ledger.forget_idle()
+            ledger.drop_idle()
 
 
-def _same_row(before: SeenRow | None, row: peer_pb2.Row | OwnRow) -> SeenRow:
+def _same_row(before: PeerRow | None, row: peer_pb2.Row | LocalRow) -> PeerRow:
     """Return the previous state of `row`, reset if the row was created anew since."""
     if before is None:
-        return SeenRow(born=row.born)
+        return PeerRow(born=row.born)
     if before.born != row.born:
-        return SeenRow(in_flight=before.in_flight, born=row.born)
+        return PeerRow(in_flight=before.in_flight, born=row.born)
     return before
 
 
-def _expire(rows: dict[RowKey, SeenRow], oldest: float) -> None:
+def _expire(rows: dict[RowKey, PeerRow], oldest: float) -> None:
     """Remove idle rows; rows are ordered by their last change."""
     for key, row in list(rows.items()):
-        if row.heard > oldest:
+        if row.updated_at > oldest:
             return
         if not row.in_flight:
             del rows[key]
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -40,7 +40,7 @@
 from carawayfold.state.budget import RetryBudget
 from carawayfold.state.forwarded import ForwardMetrics
 from carawayfold.state.ids import ContentId
-from carawayfold.state.pressure import PressureGauge
+from carawayfold.state.pressure import OverloadDetector
 from carawayfold.state.routes import RouteIndex
 from carawayfold.transport.client import HttpClient
 from carawayfold.transport.datagrams import PeerSocket
@@ -166,9 +166,9 @@
             settings.listen, self.forwarder.serve, "front", id_header=REQUEST_ID
         )
         self.front.limit = settings.connections
-        self.pressure = PressureGauge()
+        self.pressure = OverloadDetector()
         self.shed = ShedLog(self.metrics)
-        self.front.refuses = self.pressure.refuses
+        self.front.should_reject = self.pressure.should_reject
         self.front.on_shed = self.shed.note
         self.checks = self._listen(settings.ready_listen, self._serve_check, "checks")
         self.peer_edge = self._listen(settings.peer_listen, self._serve_peer, "inner")
--- a/carawayfold/protocol/forward_exposition.py
+++ b/carawayfold/protocol/forward_exposition.py
@@ -118,7 +118,7 @@
             ),
             "endpoints_offset": offset_of(known.offset),
             "endpoints_age_seconds": known.age,
-            "repeats_extra": budget.part_of_extra(gateway.fleet.known_size, now),
+            "repeats_extra": budget.extra_share(gateway.fleet.known_size, now),
             "quarantined": len(quarantine.held(now)),
             "suspected": len(quarantine.suspected(now)),
             "left_out_log_lines": gateway.log_lines_left_out(),
--- a/carawayfold/protocol/quarantine_list.py
+++ b/carawayfold/protocol/quarantine_list.py
@@ -48,7 +48,7 @@
             entry.organisation,
             entry.level.value,
             round(now - entry.since, 1),
-            round(quarantine.held_for(entry.content, now), 1),
+            round(quarantine.rejection_remaining(entry.content, now), 1),
             entry.endpoints,
         )
         for entry in entries
--- a/carawayfold/state/budget.py
+++ b/carawayfold/state/budget.py
@@ -108,7 +108,7 @@
         if self._is_in_first_window(now):
             allowed = FIRST_WINDOW_FRACTION * earned
         else:
-            allowed = USABLE_FRACTION * (earned + self.part_of_extra(routers, now))
+            allowed = USABLE_FRACTION * (earned + self.extra_share(routers, now))
         requests, repeats = round(budget.requests.total), round(budget.repeats.total)
         return BudgetWindow(requests, repeats, allowed)
 
@@ -120,7 +120,7 @@
         self._budget_of(service).repeats.add(now, 1)
         return True
 
-    def part_of_extra(self, routers: int | None, now: float) -> float:
+    def extra_share(self, routers: int | None, now: float) -> float:
         """Return this router's share of the extra retries of the fleet."""
         if routers is None or self._is_in_first_window(now):
             return 0.0
--- a/carawayfold/state/claims.py
+++ b/carawayfold/state/claims.py
@@ -137,13 +137,13 @@
 batch_decoder = msgspec.msgpack.Decoder(Batch)
 
 
-def digest_of(organisation: str, key: str) -> bytes:
+def key_digest(organisation: str, key: str) -> bytes:
     """Return the digest by which an organisation's idempotency key is claimed."""
     text = f"{organisation}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=DIGEST_SIZE).digest()
 
 
-class ClaimBook:
+class ClaimTable:
     """Claims that hold a key, oldest first.
 
     Parameters
@@ -152,14 +152,14 @@
         Seconds for which a claim holds its key.
     """
 
-    def __init__(self, lifetime: float) -> None:
-        self.lifetime = lifetime
+    def __init__(self, retention_duration: float) -> None:
+        self.retention_duration = retention_duration
         self.claims: dict[bytes, Claim] = {}
 
     def find(self, digest: bytes, now: float) -> Claim | None:
         """Return the claim that holds a key, None if there is none."""
         claim = self.claims.get(digest)
-        if claim is None or now - claim.seen > self.lifetime:
+        if claim is None or now - claim.seen > self.retention_duration:
             return None
         return claim
 
@@ -196,7 +196,7 @@
     def _expire(self, now: float) -> None:
         while self.claims:
             digest, claim = next(iter(self.claims.items()))
-            if now - claim.seen <= self.lifetime:
+            if now - claim.seen <= self.retention_duration:
                 return
             del self.claims[digest]
 
--- a/carawayfold/state/crashes.py
+++ b/carawayfold/state/crashes.py
@@ -14,7 +14,7 @@
 
 from carawayfold.state.ids import ContentId, EndpointId, OrganisationId, RouterId
 from carawayfold.state.quarantine import Level
-from carawayfold.state.well_runs import SPEAKS_FOR
+from carawayfold.state.well_runs import SUCCESS_EVIDENCE_DURATION
 
 if TYPE_CHECKING:
     from carawayfold.state.endpoints import Endpoint
@@ -28,11 +28,11 @@
 ANSWER_BEGUN_WEIGHT = 0.5
 #: Least number of crashes at which a content is suspected. It is then sent once per
 #: call, without retries, and a run that completes clears it.
-SUSPECTED_AT = 2
+MIN_SUSPECT_CRASHES = 2
 #: Least weight of the crashes at which a content is quarantined: three at which its
 #: answer had not begun. A lower value would reject contents that were in flight twice
 #: by coincidence, a higher one would cost further endpoints.
-QUARANTINED_AT = 3.0
+MIN_QUARANTINE_WEIGHT = 3.0
 #: Least weight for a content that completed a run shortly before. Three endpoints that
 #: crash independently within a few seconds have nearly all popular contents in flight.
 MIN_REST_WEIGHT = 5.0
@@ -117,9 +117,9 @@
     """
 
     organisation: OrganisationId
-    ran_well_at: float = float("-inf")
+    last_success_at: float = float("-inf")
     crashes: dict[EndpointId, Crash] = msgspec.field(default_factory=dict)
-    judged: dict[EndpointId, float] = msgspec.field(default_factory=dict)
+    judged_weights: dict[EndpointId, float] = msgspec.field(default_factory=dict)
 
     def find(self, crash: Crash) -> tuple[EndpointId, Crash | None]:
         """Return the key of a crash in `crashes`, and its recorded report if any."""
@@ -132,13 +132,13 @@
             name = EndpointId(f"{crash.endpoint}#{count}")
         return name, None
 
-    def is_companion(self, now: float) -> bool:
+    def is_likely_harmless(self, now: float) -> bool:
         """Return whether the content was probably in flight by coincidence.
 
         It completed a run shortly before, or its answer had begun at one of the
         crashes. Neither was the case for any harmful content that was traced.
         """
-        if now - self.ran_well_at < SPEAKS_FOR:
+        if now - self.last_success_at < SUCCESS_EVIDENCE_DURATION:
             return True
         return any(crash.begun for crash in self.crashes.values())
 
@@ -150,7 +150,7 @@
     announced: bool
 
 
-class Departures:
+class Deregistrations:
     """Deregistrations, to distinguish a crashed endpoint from a stopped one."""
 
     def __init__(self) -> None:
@@ -162,7 +162,7 @@
         if len(self.entries) > MAX_DEREGISTRATIONS:
             self.entries.popitem(last=False)
 
-    def has_ended(self, crash: Crash, registered: Endpoint | None) -> bool:
+    def has_crashed(self, crash: Crash, registered: Endpoint | None) -> bool:
         """Return whether a lost connection was caused by a crash of the endpoint.
 
         An endpoint that announced its stop, or was deregistered before its connections
@@ -188,7 +188,7 @@
         )
 
 
-class CrashBook:
+class CrashTable:
     """The crashes recorded by one router, by content.
 
     Attributes
@@ -239,7 +239,7 @@
             Monotonic seconds of the run.
         """
         case = self.cases.get(content) or self._add_case(content, organisation)
-        case.ran_well_at = max(case.ran_well_at, at)
+        case.last_success_at = max(case.last_success_at, at)
         for endpoint, crash in list(case.crashes.items()):
             if crash.at <= at:
                 del case.crashes[endpoint]
@@ -256,7 +256,10 @@
             for endpoint, crash in list(case.crashes.items()):
                 if now - crash.at > CRASH_RETENTION_DURATION:
                     del case.crashes[endpoint]
-            if not case.crashes and now - case.ran_well_at > SPEAKS_FOR:
+            if (
+                not case.crashes
+                and now - case.last_success_at > SUCCESS_EVIDENCE_DURATION
+            ):
                 self.clear(content)
 
     def _add_case(self, content: ContentId, organisation: OrganisationId) -> Case:
@@ -301,6 +304,6 @@
     """
     if ran_well and sum(weights) >= MIN_REST_WEIGHT:
         return Level.RESTED
-    if not ran_well and sum(weights) >= QUARANTINED_AT:
+    if not ran_well and sum(weights) >= MIN_QUARANTINE_WEIGHT:
         return Level.QUARANTINED
-    return Level.SUSPECTED if len(weights) >= SUSPECTED_AT else Level.CLEARED
+    return Level.SUSPECTED if len(weights) >= MIN_SUSPECT_CRASHES else Level.CLEARED
--- a/carawayfold/state/endpoints.py
+++ b/carawayfold/state/endpoints.py
@@ -16,7 +16,7 @@
 #: Seconds after an outage of the store for which an endpoint stays usable whose entry
 #: was removed during the outage. Its lease may have expired only because it could not
 #: be renewed; the entry is then written again about two seconds after the outage.
-LAPSE_GRACE = 2.0
+LAPSE_GRACE_DURATION = 2.0
 #: Seconds after an outage within which a removed entry counts as removed during it. An
 #: endpoint whose entry is removed later has stopped, and must not be used for more than
 #: two seconds after that.
@@ -25,7 +25,7 @@
 #: record does not restore an older one.
 MAX_INCARNATIONS = 2000
 #: Most unregistered endpoints whose announced stop is remembered.
-ANNOUNCED_KEPT = 2000
+MAX_ANNOUNCED = 2000
 #: Seconds for which a deregistration is remembered. A store restored from a copy some
 #: seconds old still lists endpoints that were deregistered after the copy was made.
 DEREGISTRATION_RETENTION_DURATION = 30.0
@@ -112,7 +112,7 @@
     entries: dict[EndpointName, Endpoint] = msgspec.field(default_factory=dict)
     lapsed: dict[EndpointName, float] = msgspec.field(default_factory=dict)
     incarnations: dict[EndpointName, int] = msgspec.field(default_factory=dict)
-    departed: dict[EndpointName, float] = msgspec.field(default_factory=dict)
+    deregistered_at: dict[EndpointName, float] = msgspec.field(default_factory=dict)
     leaving_since: dict[EndpointName, float] = msgspec.field(default_factory=dict)
     announced: dict[EndpointId, bool] = msgspec.field(default_factory=dict)
     outage_end: float = float("-inf")
@@ -149,7 +149,7 @@
             )
         if endpoint.id in self.announced:
             endpoint = msgspec.structs.replace(endpoint, leaving=True)
-        self.departed.pop(endpoint.name, None)
+        self.deregistered_at.pop(endpoint.name, None)
         self.entries[endpoint.name] = endpoint
         if not endpoint.leaving:
             self.leaving_since.pop(endpoint.name, None)
@@ -187,7 +187,7 @@
         return notifies
 
     def _limit_announced(self) -> None:
-        if len(self.announced) <= ANNOUNCED_KEPT + len(self.entries):
+        if len(self.announced) <= MAX_ANNOUNCED + len(self.entries):
             return
         oldest = next(x for x in self.announced if self.registered(x) is None)
         del self.announced[oldest]
@@ -201,7 +201,7 @@
                 return entry
         return None
 
-    def said_leaving(self) -> list[EndpointId]:
+    def announced_leaving(self) -> list[EndpointId]:
         """Return the registered endpoints whose stop peers are notified of, sorted."""
         announced = [name for name, notifies in self.announced.items() if notifies]
         return sorted(x for x in announced if self.registered(x) is not None)
@@ -223,7 +223,7 @@
             return False
         in_outage = now < self.outage_end + LAPSE_DETECTION_DURATION
         if in_outage and not self.entries[name].leaving:
-            self.lapsed.setdefault(name, self.outage_end + LAPSE_GRACE)
+            self.lapsed.setdefault(name, self.outage_end + LAPSE_GRACE_DURATION)
             return False
         self._drop(name)
         self._record_deregistration(name, now)
@@ -231,13 +231,17 @@
 
     def _record_deregistration(self, name: EndpointName, now: float) -> None:
         # Entries are in order of time, so expired ones come first.
-        self.departed.pop(name, None)
-        self.departed[name] = now
+        self.deregistered_at.pop(name, None)
+        self.deregistered_at[name] = now
         oldest = now - DEREGISTRATION_RETENTION_DURATION
-        while (first := next(iter(self.departed))) and self.departed[first] < oldest:
-            del self.departed[first]
-
-    def without_departed(self, endpoints: list[Endpoint], now: float) -> list[Endpoint]:
+        while (first := next(iter(self.deregistered_at))) and self.deregistered_at[
+            first
+        ] < oldest:
+            del self.deregistered_at[first]
+
+    def without_deregistered(
+        self, endpoints: list[Endpoint], now: float
+    ) -> list[Endpoint]:
         """Return the endpoints of a restored list that were not deregistered lately.
 
         Parameters
@@ -250,7 +254,7 @@
         return [
             endpoint
             for endpoint in endpoints
-            if now - self.departed.get(endpoint.name, float("-inf"))
+            if now - self.deregistered_at.get(endpoint.name, float("-inf"))
             > DEREGISTRATION_RETENTION_DURATION
         ]
 
@@ -282,11 +286,11 @@
             self._drop(name)
         return expired
 
-    def note_outage(self, now: float) -> None:
+    def record_outage(self, now: float) -> None:
         """Record that the store was unreachable until `now`, in monotonic seconds."""
         self.outage_end = now
         for name in self.lapsed:
-            self.lapsed[name] = now + LAPSE_GRACE
+            self.lapsed[name] = now + LAPSE_GRACE_DURATION
 
     def usable(self, service: ServiceId) -> list[Endpoint]:
         """Return the endpoints of `service` that may get new requests."""
--- a/carawayfold/state/evacuations.py
+++ b/carawayfold/state/evacuations.py
@@ -102,7 +102,7 @@
                 self.unconfirmed.setdefault(data_centre, now + UNCONFIRMED_DURATION)
         return self._replace(evacuated | self.unconfirmed.keys(), after)
 
-    def told(self, snapshot: EvacuationSnapshot, now: float) -> bool:
+    def apply_snapshot(self, snapshot: EvacuationSnapshot, now: float) -> bool:
         """Apply a peer's state if it is newer; return whether the evacuations changed.
 
         Parameters
--- a/carawayfold/state/first_tokens.py
+++ b/carawayfold/state/first_tokens.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 #: Seconds to the first token of an idle engine without prompt, before any observation.
-FIRST_TOKEN = 0.08
+INITIAL_FIRST_TOKEN_DELAY = 0.08
 #: Least fitted seconds to a first token: the network round trip.
 MIN_FIRST_TOKEN_DELAY = 0.004
 #: Factor by which the weight of older observations decays with each new one: about the
@@ -60,7 +60,7 @@
 
     expected_speed: float
     speed: float = 0.0
-    first_token: float = FIRST_TOKEN
+    first_token_delay: float = INITIAL_FIRST_TOKEN_DELAY
     error: float = 0.0
     weight: float = 0.0
     tokens: float = 0.0
@@ -71,18 +71,18 @@
 
     def __post_init__(self) -> None:
         self.speed = self.expected_speed
-        longer = FIRST_TOKEN + PRIOR_TOKENS / self.expected_speed
+        longer = INITIAL_FIRST_TOKEN_DELAY + PRIOR_TOKENS / self.expected_speed
         self.prior = (
             2 * PRIOR_WEIGHT,
             PRIOR_WEIGHT * PRIOR_TOKENS,
-            PRIOR_WEIGHT * (FIRST_TOKEN + longer),
+            PRIOR_WEIGHT * (INITIAL_FIRST_TOKEN_DELAY + longer),
             PRIOR_WEIGHT * PRIOR_TOKENS**2,
             PRIOR_WEIGHT * PRIOR_TOKENS * longer,
         )
 
     def predict(self, tokens: float) -> float:
         """Return the seconds to a first token with `tokens` to read before it."""
-        return self.first_token + tokens / self.speed
+        return self.first_token_delay + tokens / self.speed
 
     def note(self, tokens: float, waited: float) -> None:
         """Update the model with one observation.
@@ -117,4 +117,4 @@
         slowest = self.expected_speed * MIN_SPEED_FACTOR
         self.speed = 1 / min(max(slope, 1 / fastest), 1 / slowest)
         intercept = (waits - tokens / self.speed) / weight
-        self.first_token = max(MIN_FIRST_TOKEN_DELAY, intercept)
+        self.first_token_delay = max(MIN_FIRST_TOKEN_DELAY, intercept)
--- a/carawayfold/state/forwarded.py
+++ b/carawayfold/state/forwarded.py
@@ -38,7 +38,7 @@
         """Count a rejected request."""
         self.refusals[kind] += 1
 
-    def repeated(self, service: ServiceId, taken: bool) -> None:
+    def record_retry(self, service: ServiceId, taken: bool) -> None:
         """Count a retry, or one that the budget rejected if `taken` is False."""
         counter = self.repeats if taken else self.repeats_refused
         counter[service] += 1
--- a/carawayfold/state/ledger.py
+++ b/carawayfold/state/ledger.py
@@ -152,7 +152,7 @@
         """
         self.floor = self.key(organisation)
 
-    def forget_idle(self) -> None:
+    def drop_idle(self) -> None:
         """Drop idle accounts at or below the floor, where a new account starts."""
         idle = [
             organisation
--- a/carawayfold/state/order.py
+++ b/carawayfold/state/order.py
@@ -12,7 +12,7 @@
 MAX_OUTDATED_ENTRIES = 64
 
 
-class RankOrder:
+class RankHeap:
     """A heap of organisations by rank, with lazy deletion of outdated entries.
 
     Attributes
@@ -27,7 +27,7 @@
         self.ranks: dict[OrganisationId, float] = {}
         self.heap: list[tuple[float, OrganisationId]] = []
 
-    def enter(self, organisation: OrganisationId, rank: float) -> None:
+    def update_rank(self, organisation: OrganisationId, rank: float) -> None:
         """Add an organisation, or change its rank."""
         if self.ranks.get(organisation) == rank:
             return
@@ -37,7 +37,7 @@
             self.heap = [(rank, name) for name, rank in self.ranks.items()]
             heapq.heapify(self.heap)
 
-    def leave(self, organisation: OrganisationId) -> None:
+    def remove_rank(self, organisation: OrganisationId) -> None:
         """Remove an organisation."""
         self.ranks.pop(organisation, None)
 
--- a/carawayfold/state/patience.py
+++ b/carawayfold/state/patience.py
@@ -15,7 +15,7 @@
 MIN_FRACTION = 0.04
 
 
-class Patience(msgspec.Struct):
+class WaitEstimator(msgspec.Struct):
     """Distribution of the time that callers of one route have to their deadlines.
 
     Callers begin with a fixed time-out, so a frequent value is the initial time-out of
--- a/carawayfold/state/prefixes.py
+++ b/carawayfold/state/prefixes.py
@@ -12,7 +12,7 @@
     from carawayfold.state.ids import PartId
 
 
-class KeptPrefixes:
+class PrefixCache:
     """Model of one engine's prefix cache, which evicts the least recently used part.
 
     Parameters
--- a/carawayfold/state/pressure.py
+++ b/carawayfold/state/pressure.py
@@ -36,7 +36,7 @@
 CALM_DURATION = 2.0
 
 
-class PressureGauge(msgspec.Struct):
+class OverloadDetector(msgspec.Struct):
     """The fraction of requests to reject, from the newest delays of the event loop.
 
     Attributes
@@ -82,7 +82,7 @@
         """Return whether tasks that other processes can do should be handed over."""
         return self.part >= OVERLOAD_FRACTION
 
-    def refuses(self) -> bool:
+    def should_reject(self) -> bool:
         """Return whether to reject the next request, a fraction `part` of all."""
         self.accumulated += self.part
         if self.accumulated < 1:
--- a/carawayfold/state/quarantine.py
+++ b/carawayfold/state/quarantine.py
@@ -29,7 +29,7 @@
 REST_DURATION = 10.0
 #: Seconds for which a content is remembered after its rejection ends, or after its last
 #: crash. One more crash within that time has it rejected again.
-REMEMBERED_FOR = 900.0
+RETENTION_DURATION = 900.0
 #: Most contents remembered: 0.6 MB of the 128 MB of the smallest instance.
 MAX_ENTRIES = 1000
 #: Most contents remembered of one organisation, so that one which sends thousands of
@@ -67,7 +67,10 @@
 
 
 #: Seconds of rejection for each level at which a content is rejected.
-REFUSED_FOR = {Level.RESTED: REST_DURATION, Level.QUARANTINED: QUARANTINE_DURATION}
+REJECTION_DURATIONS = {
+    Level.RESTED: REST_DURATION,
+    Level.QUARANTINED: QUARANTINE_DURATION,
+}
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -100,7 +103,7 @@
     stamp: int
     since: float
     held_until: float
-    forget_at: float
+    expires_at: float
     endpoints: tuple[EndpointId, ...] = ()
 
 
@@ -139,14 +142,14 @@
         """Return the newest verdict on a content."""
         return self.entries.get(content)
 
-    def concerns(self, organisation: OrganisationId) -> bool:
+    def has_contents_of(self, organisation: OrganisationId) -> bool:
         """Return whether there is a verdict on any content of an organisation."""
         return organisation in self.organisations
 
-    def held_for(self, content: ContentId, now: float) -> float:
+    def rejection_remaining(self, content: ContentId, now: float) -> float:
         """Return the remaining seconds of a content's rejection, 0 if there is none."""
         entry = self.entries.get(content)
-        if entry is None or entry.level not in REFUSED_FOR:
+        if entry is None or entry.level not in REJECTION_DURATIONS:
             return 0.0
         return max(0.0, entry.held_until - now)
 
@@ -160,7 +163,7 @@
         return [
             entry
             for entry in self.entries.values()
-            if self.held_for(entry.content, now) > 0
+            if self.rejection_remaining(entry.content, now) > 0
         ]
 
     def suspected(self, now: float) -> list[Entry]:
@@ -171,13 +174,16 @@
         return [
             entry
             for entry in self.entries.values()
-            if not entry.level.is_clear and not self.held_for(entry.content, now)
+            if not entry.level.is_clear
+            and not self.rejection_remaining(entry.content, now)
         ]
 
     def expire(self, now: float) -> None:
         """Drop expired verdicts."""
         expired = [
-            content for content, entry in self.entries.items() if entry.forget_at <= now
+            content
+            for content, entry in self.entries.items()
+            if entry.expires_at <= now
         ]
         for content in expired:
             self._drop(content)
@@ -214,5 +220,5 @@
     """Return the oldest verdict, of those that reject nothing if there are any."""
     return min(
         entries,
-        key=lambda entry: (entry.level in REFUSED_FOR, entry.stamp),
+        key=lambda entry: (entry.level in REJECTION_DURATIONS, entry.stamp),
     )
--- a/carawayfold/state/rests.py
+++ b/carawayfold/state/rests.py
@@ -37,7 +37,7 @@
     next_probe: float
 
 
-class Rests:
+class EndpointBackoffs:
     """Backoffs that endpoints requested of this router.
 
     Attributes
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.entries: dict[EndpointId, EndpointBackoff] = {}
 
-    def ask(self, endpoint: EndpointId, seconds: float, now: float) -> None:
+    def request_backoff(self, endpoint: EndpointId, seconds: float, now: float) -> None:
         """Record that an endpoint requested a backoff.
 
         It does not shorten an earlier backoff.
@@ -87,14 +87,14 @@
         if known is not None:
             known.next_probe = now + PROBE_INTERVAL
 
-    def opens_at(self, endpoint: EndpointId, now: float) -> float:
+    def available_at(self, endpoint: EndpointId, now: float) -> float:
         """Return when an endpoint may get a request, in monotonic seconds; 0 if now."""
         known = self.entries.get(endpoint)
         if known is None or known.next_probe <= now:
             return 0.0
         return known.next_probe
 
-    def lasts(self, endpoint: EndpointId, now: float) -> bool:
+    def is_backing_off(self, endpoint: EndpointId, now: float) -> bool:
         """Return whether the backoff from an endpoint lasts at `now`."""
         known = self.entries.get(endpoint)
         return known is not None and now < known.until
--- a/carawayfold/state/routes.py
+++ b/carawayfold/state/routes.py
@@ -201,7 +201,7 @@
     regions: dict[OrganisationId, tuple[RegionId, ...]] = {}
 
 
-class InForce(msgspec.Struct, frozen=True):
+class ActiveConfiguration(msgspec.Struct, frozen=True):
     """Version and origin of the active configuration.
 
     Attributes
--- a/carawayfold/state/service_rows.py
+++ b/carawayfold/state/service_rows.py
@@ -16,10 +16,10 @@
 LOCAL_ROW_TIMEOUT = 15.0
 #: Seconds after which a peer drops the row. Longer, so that a row still kept by its
 #: owner is never taken for one that starts from zero.
-SEEN_LIFETIME = 30.0
+PEER_ROW_TIMEOUT = 30.0
 
 
-class OwnRow(msgspec.Struct):
+class LocalRow(msgspec.Struct):
     """Service of one organisation at one service, as counted by this router.
 
     Attributes
@@ -58,7 +58,7 @@
     version: int = 0
 
 
-class OwnRows:
+class LocalRows:
     """Rows of this router, in order of their last change.
 
     Parameters
@@ -70,7 +70,7 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
         #: Rows by service and organisation, the most recently changed one last.
-        self.rows: dict[tuple[ServiceId, OrganisationId], OwnRow] = {}
+        self.rows: dict[tuple[ServiceId, OrganisationId], LocalRow] = {}
         self.version = 0
 
     def change(
@@ -97,7 +97,7 @@
             Requests that ended.
         """
         key = (service, organisation)
-        row = self.rows.pop(key, None) or OwnRow(born=self.version + 1)
+        row = self.rows.pop(key, None) or LocalRow(born=self.version + 1)
         row.in_flight += in_flight
         row.service += received
         row.requests += requests
@@ -115,7 +115,9 @@
             if not row.in_flight:
                 del self.rows[key]
 
-    def since(self, version: int) -> Iterator[tuple[ServiceId, OrganisationId, OwnRow]]:
+    def since(
+        self, version: int
+    ) -> Iterator[tuple[ServiceId, OrganisationId, LocalRow]]:
         """Yield the rows changed after `version`, the latest change first."""
         for (service, organisation), row in reversed(self.rows.items()):
             if row.version <= version:
@@ -123,7 +125,7 @@
             yield service, organisation, row
 
 
-class SeenRow(msgspec.Struct):
+class PeerRow(msgspec.Struct):
     """A row as last received from a peer.
 
     Attributes
@@ -143,5 +145,5 @@
     service: float = 0.0
     requests: int = 0
     in_flight: int = 0
-    heard: float = 0.0
+    updated_at: float = 0.0
     born: int = 0
--- a/carawayfold/state/usage.py
+++ b/carawayfold/state/usage.py
@@ -18,10 +18,10 @@
 HEADROOM = 2.0
 #: Least fraction of its requests that an organisation may offer. A router learns a
 #: higher fraction from the replies to its offers, so it must never stop offering.
-LEAST_ADMITTED = 0.02
+MIN_ADMITTED_FRACTION = 0.02
 #: Fraction of the tokens of the best served organisation below which another one is
 #: underserved. Users accept one half at least; the margin covers the lag of the window.
-BEHIND = 0.7
+BEHIND_FRACTION = 0.7
 
 
 def max_min_level(demands: Iterable[float], capacity: float) -> float:
@@ -74,7 +74,7 @@
     granted: WindowSum = msgspec.field(default_factory=WindowSum)
 
 
-class UsageBook:
+class UsageTable:
     """Usage of every organisation that was active within the window.
 
     Parameters
@@ -85,7 +85,7 @@
 
     def __init__(self, window: float) -> None:
         self.window = window
-        self.book: dict[OrganisationId, OrganisationUsage] = {}
+        self.usages: dict[OrganisationId, OrganisationUsage] = {}
         #: Max-min fair share in tokens per window, from the throughput.
         self.share_level = float("inf")
         #: Tokens per window that an organisation may offer before routers hold part
@@ -104,27 +104,27 @@
 
     def refresh(self, now: float, throughput: float) -> None:
         """Recompute the fair shares of a throughput in tokens a second."""
-        for organisation, usage in list(self.book.items()):
+        for organisation, usage in list(self.usages.items()):
             usage.asked.expire(now - self.window)
             usage.granted.expire(now - self.window)
             if not usage.asked.entries and not usage.granted.entries:
-                del self.book[organisation]
+                del self.usages[organisation]
         self.max_granted = max(
-            (usage.granted.total for usage in self.book.values()), default=0.0
+            (usage.granted.total for usage in self.usages.values()), default=0.0
         )
-        demands = [usage.asked.total for usage in self.book.values()]
+        demands = [usage.asked.total for usage in self.usages.values()]
         capacity = throughput * self.window
         self.share_level = (
             max_min_level(demands, capacity) if throughput else float("inf")
         )
-        granted = sum(usage.granted.total for usage in self.book.values())
+        granted = sum(usage.granted.total for usage in self.usages.values())
         self.offer_limit = max_min_level(demands, HEADROOM * granted)
 
-    def is_owed(self, organisation: OrganisationId, tokens: float) -> bool:
+    def is_within_share(self, organisation: OrganisationId, tokens: float) -> bool:
         """Return whether a request of `tokens` is within the organisation's share."""
         return self._usage_of(organisation).granted.total + tokens <= self.share_level
 
-    def is_behind(self, organisation: OrganisationId) -> bool:
+    def is_underserved(self, organisation: OrganisationId) -> bool:
         """Return whether an organisation got far less than the best served one.
 
         The comparison is limited to the tokens that it requested. It also applies
@@ -132,7 +132,7 @@
         """
         usage = self._usage_of(organisation)
         due = min(usage.asked.total, self.max_granted)
-        return usage.granted.total < BEHIND * due
+        return usage.granted.total < BEHIND_FRACTION * due
 
     def admitted_part(self, organisation: OrganisationId) -> float:
         """Return the fraction of an organisation's requests to offer, 0 to 1.
@@ -142,11 +142,11 @@
         underserved one, as possibly few of its requests can meet their deadlines.
         """
         asked = self._usage_of(organisation).asked.total
-        if asked <= self.offer_limit or self.is_behind(organisation):
+        if asked <= self.offer_limit or self.is_underserved(organisation):
             return 1.0
-        return max(LEAST_ADMITTED, self.offer_limit / asked)
+        return max(MIN_ADMITTED_FRACTION, self.offer_limit / asked)
 
-    def most_asked(self, count: int) -> list[tuple[OrganisationId, float, float]]:
+    def top_requesters(self, count: int) -> list[tuple[OrganisationId, float, float]]:
         """Return the organisations with the highest demand in the window.
 
         Returns
@@ -156,9 +156,9 @@
         """
         rows = [
             (organisation, usage.asked.total, usage.granted.total)
-            for organisation, usage in self.book.items()
+            for organisation, usage in self.usages.items()
         ]
         return heapq.nlargest(count, rows, key=lambda row: row[1])
 
     def _usage_of(self, organisation: OrganisationId) -> OrganisationUsage:
-        return self.book.setdefault(organisation, OrganisationUsage())
+        return self.usages.setdefault(organisation, OrganisationUsage())
--- a/carawayfold/state/well_runs.py
+++ b/carawayfold/state/well_runs.py
@@ -23,12 +23,12 @@
 MAX_SHORT_BODY_BYTES = 4096
 #: Seconds for which a completed run is evidence that its content is harmless: the time
 #: within which a caller may request the same content again.
-SPEAKS_FOR = 120.0
+SUCCESS_EVIDENCE_DURATION = 120.0
 #: Most contents with a recorded run: 0.4 MB of memory.
 MAX_RUNS = 2000
 
 
-class WellRuns(msgspec.Struct):
+class SuccessfulRuns(msgspec.Struct):
     """Last completed run of each content at this router.
 
     Attributes
@@ -46,7 +46,7 @@
         """Record every completed run for `WATCH_DURATION`, as an endpoint was lost."""
         self.watch_until = now + WATCH_DURATION
 
-    def wants(self, body: bytes, now: float) -> bool:
+    def should_record(self, body: bytes, now: float) -> bool:
         """Return whether to record a completed run of a request with this body."""
         return len(body) <= MAX_SHORT_BODY_BYTES or now < self.watch_until
 
@@ -63,4 +63,4 @@
         None if that is longer ago than `SUCCESS_EVIDENCE_DURATION`, or not known.
         """
         at = self.ended.get(content)
-        return at if at is not None and now - at < SPEAKS_FOR else None
+        return at if at is not None and now - at < SUCCESS_EVIDENCE_DURATION else None
--- a/carawayfold/transport/edge.py
+++ b/carawayfold/transport/edge.py
@@ -300,7 +300,7 @@
             return
         head = bytes(self.pending[: end + len(HEAD_END)])
         del self.pending[: len(head)]
-        length = _plain_length(head) if self.edge.refuses() else None
+        length = _plain_length(head) if self.edge.should_reject() else None
         if length is None or length > self.edge.limits.body_bytes:
             self._parse_head(head)
             return
@@ -486,7 +486,7 @@
         self.id_pattern = header_pattern(id_header)
         #: `refuses` returns whether to reject the next request because this process is
         #: overloaded; `on_rejected` receives the id of each request rejected for that.
-        self.refuses: Callable[[], bool] = lambda: False
+        self.should_reject: Callable[[], bool] = lambda: False
         self.on_shed: Callable[[str], None] = lambda request: None
         self.connections: dict[socket, CallerConnection] = {}
         #: Total size of all bodies in memory, in bytes.
--- a/tests/benchmarks/test_emulation.py
+++ b/tests/benchmarks/test_emulation.py
@@ -12,7 +12,7 @@
 from benchmarks.emulation.run import Policy
 from carawayfold.protocol.exchanges import Part
 from carawayfold.state.budget import BudgetBounds
-from carawayfold.state.crashes import QUARANTINED_AT
+from carawayfold.state.crashes import MIN_QUARANTINE_WEIGHT
 
 SECONDS = 4.0
 
@@ -101,9 +101,9 @@
 
 def test_a_harmful_content_ends_one_engine_each_time_until_it_is_contained():
     without, contained = harmed(contained=False), harmed()
-    assert contained.harm.ends == {"harmful-0": QUARANTINED_AT}
+    assert contained.harm.ends == {"harmful-0": MIN_QUARANTINE_WEIGHT}
     assert contained.harm.refused > 0
-    assert without.harm.ends.total() > QUARANTINED_AT
+    assert without.harm.ends.total() > MIN_QUARANTINE_WEIGHT
     assert without.harm.refused == 0
     assert contained.benefit > without.benefit
 
--- a/tests/coordination/containment/test_containment.py
+++ b/tests/coordination/containment/test_containment.py
@@ -53,7 +53,7 @@
     return {
         name
         for name, made in world.containments.items()
-        if made.quarantine.held_for(content, now)
+        if made.quarantine.rejection_remaining(content, now)
     }
 
 
--- a/tests/coordination/knowledge/test_knowledge.py
+++ b/tests/coordination/knowledge/test_knowledge.py
@@ -4,7 +4,7 @@
 
 from carawayfold.coordination.knowledge.knowledge import EndpointSnapshot
 from carawayfold.protocol.sources import Page, Registered, SourceError
-from carawayfold.state.endpoints import LAPSE_GRACE
+from carawayfold.state.endpoints import LAPSE_GRACE_DURATION
 from carawayfold.state.positions import position
 from tests.knowledge_builders import knowledge, run_in_loop, table
 from tests.schedule_builders import endpoint
@@ -147,7 +147,7 @@
         known, _ = knowledge()
         known.merge_snapshot(peer.snapshot(), "peer")
         told = sorted(known.endpoints.entries)
-        later = known.loop.time() + LAPSE_GRACE
+        later = known.loop.time() + LAPSE_GRACE_DURATION
         known.endpoints.expire(later)
         return told, sorted(known.endpoints.entries)
 
--- a/tests/coordination/knowledge/test_notices.py
+++ b/tests/coordination/knowledge/test_notices.py
@@ -46,7 +46,7 @@
     known.remove(NAME, 4.0)
     known.put(entry)
     assert known.usable("model") == []
-    assert known.said_leaving() == [entry.id]
+    assert known.announced_leaving() == [entry.id]
 
 
 def test_the_next_incarnation_stays():
@@ -55,7 +55,7 @@
     following = endpoint(NAME, incarnation=2)
     known.put(following)
     assert known.usable("model") == [following]
-    assert known.said_leaving() == []
+    assert known.announced_leaving() == []
 
 
 def test_a_notice_of_an_endpoint_that_is_not_registered_yet_is_kept():
@@ -68,7 +68,7 @@
 def test_an_entry_of_one_that_leaves_does_not_lapse_in_an_outage():
     known = table(endpoint(NAME))
     known.announce(NAME, 1.0)
-    known.note_outage(2.0)
+    known.record_outage(2.0)
     assert known.remove(NAME, 2.0)
     assert known.entries == {}
 
@@ -85,9 +85,9 @@
 def test_a_notice_that_is_already_registered_is_not_distributed():
     known = table(endpoint(NAME, leaving=True))
     assert not known.announce(NAME, 1.0)
-    assert known.said_leaving() == []
+    assert known.announced_leaving() == []
     assert known.announce(NAME, 1.0, by_peer=True)
-    assert known.said_leaving() == [NAME]
+    assert known.announced_leaving() == [NAME]
 
 
 #: Seconds within which every router applies a notice that one has received.
--- a/tests/coordination/scheduling/test_held_back.py
+++ b/tests/coordination/scheduling/test_held_back.py
@@ -10,7 +10,7 @@
 )
 from carawayfold.coordination.scheduling.offers import Granted, Outcome, Rejected
 from carawayfold.coordination.scheduling.scheduler import FULL_DURATION
-from carawayfold.state.usage import HEADROOM, LEAST_ADMITTED
+from carawayfold.state.usage import HEADROOM, MIN_ADMITTED_FRACTION
 from tests.schedule_builders import offer, scheduler
 
 POOL = "model/0"
@@ -113,12 +113,12 @@
 def test_the_admitted_demand_is_a_multiple_of_the_granted_tokens():
     made, now = flooded({"one": 40, "two": 30, "three": 30})
     made.usage.refresh(now, 100_000)
-    book = made.usage.book
+    usages = made.usage.usages
     offered = sum(
         usage.asked.total * made.usage.admitted_part(name)
-        for name, usage in book.items()
+        for name, usage in usages.items()
     )
-    granted = sum(usage.granted.total for usage in book.values())
+    granted = sum(usage.granted.total for usage in usages.values())
     assert offered == pytest.approx(HEADROOM * granted, rel=0.01)
 
 
@@ -143,7 +143,7 @@
         made.offer(item, 0.0)
     made.full_until = FULL_DURATION
     made.usage.refresh(0.0, 0.0)
-    assert made._admitted_fraction(offer(), 0.1) == LEAST_ADMITTED
+    assert made._admitted_fraction(offer(), 0.1) == MIN_ADMITTED_FRACTION
 
 
 def test_throttled_tokens_count_once_as_requested():
@@ -151,7 +151,7 @@
     request = offer(throttled_tokens=5000)
     made.offer(request, 0.0)
     made.offer(request, 0.1)
-    asked = made.usage.book["alder"].asked.total
+    asked = made.usage.usages["alder"].asked.total
     assert asked == request.charged_tokens + 5000
 
 
--- a/tests/coordination/scheduling/test_tallies.py
+++ b/tests/coordination/scheduling/test_tallies.py
@@ -8,7 +8,7 @@
 
 from carawayfold.coordination.scheduling import tallies
 from carawayfold.coordination.scheduling.tallies import SchedulingStatistics
-from carawayfold.state.usage import UsageBook
+from carawayfold.state.usage import UsageTable
 
 
 def test_a_log_line_names_the_organisations_that_requested_most():
@@ -16,7 +16,7 @@
         made = SchedulingStatistics()
         statistics = made.of("model/0")
         statistics.offers, statistics.repeated = 3, 2
-        account = UsageBook(4.0)
+        account = UsageTable(4.0)
         for number in range(tallies.MAX_NAMED_ORGANISATIONS + 1):
             account.asked(f"o-{number}", 0.0, 100 * number)
         account.granted("o-2", 0.0, 50)
--- a/tests/knowledge_model.py
+++ b/tests/knowledge_model.py
@@ -102,7 +102,7 @@
         return (
             table.offset,
             tuple((name, item.leaving) for name, item in table.entries.items()),
-            tuple(table.departed),
+            tuple(table.deregistered_at),
             tuple(table.announced.items()),
             self.known.restored_until > self.known.loop.time(),
             in_transit,
--- a/tests/simulated_crashes.py
+++ b/tests/simulated_crashes.py
@@ -21,7 +21,7 @@
 from carawayfold.protocol.sources import SourceError
 from carawayfold.settings import Address
 from carawayfold.state.contents import content_id
-from carawayfold.state.crashes import QUARANTINED_AT
+from carawayfold.state.crashes import MIN_QUARANTINE_WEIGHT
 from carawayfold.state.endpoints import Endpoint
 from carawayfold.transport.probes import Reach
 from tests.simulated_fleet import simulate, started
@@ -219,7 +219,7 @@
     def lose(self, run, engine, now):
         if run.harmful:
             self.tally.crashes[run.content] += 1
-            if self.tally.crashes[run.content] == QUARANTINED_AT:
+            if self.tally.crashes[run.content] == MIN_QUARANTINE_WEIGHT:
                 self.tally.third[run.content] = now
         else:
             self.tally.lost[run.content] += 1
@@ -254,7 +254,7 @@
         live = [x for x in self.engines if not x.ended and x.registered]
         if made is None or not live:
             return
-        if made.quarantine.held_for(content, self.loop.time()):
+        if made.quarantine.rejection_remaining(content, self.loop.time()):
             self.tally.refused += not harmful
             return
         self.tally.sent += not harmful
--- a/tests/simulated_deciders.py
+++ b/tests/simulated_deciders.py
@@ -27,7 +27,7 @@
 from carawayfold.coordination.scheduling.scheduler import Scheduler
 from carawayfold.gateway import PRESSURE_INTERVAL
 from carawayfold.protocol.exchanges import Part
-from carawayfold.state.pressure import PressureGauge
+from carawayfold.state.pressure import OverloadDetector
 from carawayfold.state.routes import CallerLimits, RouteTable, ServiceConfig
 from tests.decider_faults import FAULTS
 from tests.simulated_engines import BROKEN_IN, REFUSED_IN, Registrations
@@ -177,7 +177,7 @@
         ChargedScheduler.clocks.append(self.clock)
         self.coordinator = SchedulingCoordinator(fleet, 4.0)
         self.fleet = fleet
-        self.pressure = PressureGauge()
+        self.pressure = OverloadDetector()
         self.coordinator.loop = self.clock
         self.coordinator.decision_statistics.loop = self.clock
         self.routes = RouteTable(
@@ -376,7 +376,7 @@
         tokens = flood.tokens + 2 * flood.output
         played.asked[flood.name][self._second()] += tokens
         played.largest[flood.name].append(tokens)
-        if router.pressure.refuses():
+        if router.pressure.should_reject():
             played.refused[self._second()] += 1
             played.shed[flood.name] += tokens
             return
--- a/tests/simulated_engines.py
+++ b/tests/simulated_engines.py
@@ -12,7 +12,7 @@
 ENGINE_SPEED = 15_700.0
 SLOTS = 3
 #: Seconds from the last token read to the first one generated.
-FIRST_TOKEN = 0.026
+INITIAL_FIRST_TOKEN_DELAY = 0.026
 #: Seconds from a router's attempt until it knows that an engine has ended, by whether
 #: the engine had the request already.
 BROKEN_IN, REFUSED_IN = 0.05, 0.02
@@ -34,7 +34,7 @@
         self.kept.update(part.id for part in prompt[:-1])
         now = self.loop.time()
         self.read_until = max(now, self.read_until) + unread / ENGINE_SPEED
-        return self.read_until - now + FIRST_TOKEN
+        return self.read_until - now + INITIAL_FIRST_TOKEN_DELAY
 
     def end(self):
         """Let all that runs here fail, and all that comes."""
--- a/tests/simulated_notices.py
+++ b/tests/simulated_notices.py
@@ -16,7 +16,7 @@
 from carawayfold.coordination.knowledge.knowledge import Knowledge
 from carawayfold.coordination.knowledge.notices import EndpointNotices
 from carawayfold.protocol.exchanges import Answered
-from carawayfold.state.rests import Rests
+from carawayfold.state.rests import EndpointBackoffs
 from tests.schedule_builders import endpoint
 from tests.simulated_fleet import simulate, started
 
@@ -70,7 +70,7 @@
 
     def __init__(self, fleet, count):
         self.knowledge = Knowledge(lambda table: None, lambda: None)
-        self.notices = EndpointNotices(fleet, self.knowledge, Rests())
+        self.notices = EndpointNotices(fleet, self.knowledge, EndpointBackoffs())
         for number in range(count):
             self.knowledge.endpoints.put(endpoint(name_of(number)))
 
--- a/tests/state/test_crashes.py
+++ b/tests/state/test_crashes.py
@@ -8,11 +8,11 @@
 from carawayfold.state.contents import content_id
 from carawayfold.state.crashes import (
     MAX_CASES_PER_ORGANISATION,
+    MIN_QUARANTINE_WEIGHT,
     MIN_REST_WEIGHT,
-    QUARANTINED_AT,
     Crash,
-    CrashBook,
-    Departures,
+    CrashTable,
+    Deregistrations,
     level_for,
 )
 from carawayfold.state.quarantine import Level
@@ -31,35 +31,35 @@
 
 def deregistered(after, leaving=False):
     """Return deregistrations with one endpoint, `after` seconds after its crash."""
-    made = Departures()
+    made = Deregistrations()
     made.note(endpoint("e-1", leaving=leaving), AT + after)
     return made
 
 
 def test_endpoint_that_refuses_connections_has_crashed_although_registered():
-    assert Departures().has_ended(crash(), endpoint("e-1"))
+    assert Deregistrations().has_crashed(crash(), endpoint("e-1"))
 
 
 def test_endpoint_that_accepts_connections_and_stays_registered_has_not_crashed():
-    assert not Departures().has_ended(crash(refused=False), endpoint("e-1"))
+    assert not Deregistrations().has_crashed(crash(refused=False), endpoint("e-1"))
 
 
 @pytest.mark.parametrize(("after", "ended"), [(2.5, True), (-0.2, True), (-2.0, False)])
 def test_crashed_endpoint_is_deregistered_soon_after_its_last_data(after, ended):
-    assert deregistered(after).has_ended(crash(refused=False), None) is ended
+    assert deregistered(after).has_crashed(crash(refused=False), None) is ended
 
 
 def test_late_deregistration_is_no_sign_of_a_crash():
-    assert not deregistered(60.0).has_ended(crash(refused=False), None)
+    assert not deregistered(60.0).has_crashed(crash(refused=False), None)
 
 
 def test_endpoint_that_announced_its_stop_has_not_crashed():
-    assert not deregistered(2.5, leaving=True).has_ended(crash(), None)
-    assert not Departures().has_ended(crash(), endpoint("e-1", leaving=True))
+    assert not deregistered(2.5, leaving=True).has_crashed(crash(), None)
+    assert not Deregistrations().has_crashed(crash(), endpoint("e-1", leaving=True))
 
 
 def crashes_counted(*found):
-    table = CrashBook()
+    table = CrashTable()
     for item in found:
         table.note(content(), "alder", item)
     return len(table.cases[content()].crashes)
@@ -79,14 +79,14 @@
 
 
 def test_reports_of_several_routers_of_one_crash_count_once():
-    table = CrashBook()
+    table = CrashTable()
     assert table.note(content(), "alder", crash())
     assert not table.note(content(), "alder", crash(at=AT + 0.1))
     assert len(table.cases[content()].crashes) == 1
 
 
 def test_of_several_reports_on_one_crash_the_greatest_weight_counts():
-    table = CrashBook()
+    table = CrashTable()
     table.note(content(), "alder", crash(begun=True, refused=False))
     assert table.note(content(), "alder", crash(begun=False, refused=True))
     [known] = table.cases[content()].crashes.values()
@@ -94,14 +94,14 @@
 
 
 def test_each_crash_of_an_endpoint_under_one_name_counts():
-    table = CrashBook()
+    table = CrashTable()
     for at in (AT, AT + 3, AT + 6):
         table.note(content(), "alder", crash(at=at))
     assert len(table.cases[content()].crashes) == 3
 
 
 def test_completed_run_drops_the_crashes_before_it():
-    table = CrashBook()
+    table = CrashTable()
     for number, at in enumerate((AT, AT + 3, AT + 6)):
         table.note(content(), "alder", crash(f"e-{number}", at))
     table.record_success(content(), "alder", AT + 4)
@@ -116,12 +116,14 @@
 
 
 def test_content_with_a_recent_completed_run_is_only_rested_and_later():
-    assert level_for([1.0] * int(QUARANTINED_AT), ran_well=True) is Level.SUSPECTED
+    assert (
+        level_for([1.0] * int(MIN_QUARANTINE_WEIGHT), ran_well=True) is Level.SUSPECTED
+    )
     assert level_for([1.0] * int(MIN_REST_WEIGHT), ran_well=True) is Level.RESTED
 
 
 def test_limit_of_an_organisation_drops_its_own_weakest_cases():
-    table = CrashBook()
+    table = CrashTable()
     table.note(content(-1), "birch", crash())
     for name in ("e-1", "e-2"):
         table.note(content(0), "alder", crash(name))
--- a/tests/state/test_endpoints.py
+++ b/tests/state/test_endpoints.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
-from carawayfold.state.endpoints import LAPSE_GRACE, MAX_INCARNATIONS, EndpointTable
+from carawayfold.state.endpoints import (
+    LAPSE_GRACE_DURATION,
+    MAX_INCARNATIONS,
+    EndpointTable,
+)
 from tests.schedule_builders import endpoint
 
 
@@ -27,20 +31,20 @@
 def test_endpoint_stays_usable_while_its_entry_lapsed_in_an_outage():
     table = EndpointTable()
     table.put(endpoint("a"))
-    table.note_outage(5.0)
+    table.record_outage(5.0)
     assert not table.remove("a", 5.2)
     assert names(table) == ["a"]
     table.put(endpoint("a"))
-    assert table.expire(5.2 + 2 * LAPSE_GRACE) == []
+    assert table.expire(5.2 + 2 * LAPSE_GRACE_DURATION) == []
     assert names(table) == ["a"]
 
 
 def test_lapsed_endpoint_is_dropped_unless_it_registers_again():
     table = EndpointTable()
     table.put(endpoint("a"))
-    table.note_outage(5.0)
+    table.record_outage(5.0)
     table.remove("a", 5.2)
-    assert table.expire(5.0 + LAPSE_GRACE) == ["a"]
+    assert table.expire(5.0 + LAPSE_GRACE_DURATION) == ["a"]
     assert names(table) == []
 
 
@@ -51,7 +55,7 @@
     """
     table = EndpointTable()
     table.put(endpoint("a"))
-    table.note_outage(24.64)
+    table.record_outage(24.64)
     assert table.remove("a", 26.27)
     assert names(table) == []
 
@@ -59,7 +63,7 @@
 def test_leaving_endpoint_is_removed_at_once_in_an_outage():
     table = EndpointTable()
     table.put(endpoint("a", leaving=True))
-    table.note_outage(5.0)
+    table.record_outage(5.0)
     assert table.remove("a", 5.5)
 
 
@@ -98,8 +102,8 @@
 def test_a_lapsed_endpoint_that_started_again_is_the_new_one():
     table = EndpointTable()
     table.put(endpoint("a", incarnation=1000))
-    table.note_outage(5.0)
+    table.record_outage(5.0)
     table.remove("a", 5.2)
     table.put(endpoint("a", incarnation=2000))
-    assert table.expire(5.2 + 2 * LAPSE_GRACE) == []
+    assert table.expire(5.2 + 2 * LAPSE_GRACE_DURATION) == []
     assert [item.incarnation for item in table.usable("model")] == [2000]
--- a/tests/state/test_evacuations.py
+++ b/tests/state/test_evacuations.py
@@ -30,13 +30,13 @@
 def test_evacuations_are_not_known_before_a_complete_list():
     table = EvacuationTable()
     assert not table.known
-    assert not table.told(EvacuationSnapshot(0, []), 0.0)
+    assert not table.apply_snapshot(EvacuationSnapshot(0, []), 0.0)
     assert table.known
 
 
 def test_older_records_do_not_change_the_newer_state_of_a_peer():
     table = evacuated()
-    table.told(EvacuationSnapshot(15, ["north"]), 0.0)
+    table.apply_snapshot(EvacuationSnapshot(15, ["north"]), 0.0)
     assert not table.read({"north": False}, 13)
     assert not table.listed([], 13, 0.0)
     assert table.active == {"north"}
@@ -44,7 +44,7 @@
 
 def test_state_of_a_peer_without_later_changes_is_ignored():
     table = evacuated("north")
-    assert not table.told(EvacuationSnapshot(10, []), 0.0)
+    assert not table.apply_snapshot(EvacuationSnapshot(10, []), 0.0)
     assert table.active == {"north"}
 
 
@@ -82,7 +82,7 @@
     table.listed([], position(1, 8), 100.0)
     table.read({"south": True}, position(1, 9))
     peer = EvacuationTable()
-    peer.told(table.snapshot(110.0), 500.0)
+    peer.apply_snapshot(table.snapshot(110.0), 500.0)
     assert peer.active == {"north", "south"}
     assert peer.expire(500.0 + UNCONFIRMED_DURATION - 10.0)
     assert peer.active == {"south"}
--- a/tests/state/test_first_tokens.py
+++ b/tests/state/test_first_tokens.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from carawayfold.state.first_tokens import FIRST_TOKEN, FirstTokenModel
+from carawayfold.state.first_tokens import INITIAL_FIRST_TOKEN_DELAY, FirstTokenModel
 
 
 def play(model, speed, first_token, count=200, seed=1, noise=0.0):
@@ -18,7 +18,7 @@
 
 def test_before_any_observation_the_configured_speed_applies():
     model = FirstTokenModel(100_000.0)
-    assert model.predict(10_000) == pytest.approx(FIRST_TOKEN + 0.1)
+    assert model.predict(10_000) == pytest.approx(INITIAL_FIRST_TOKEN_DELAY + 0.1)
 
 
 @pytest.mark.parametrize("speed", [40_000, 92_000, 157_000])
--- a/tests/state/test_patience.py
+++ b/tests/state/test_patience.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from carawayfold.state.patience import Patience
+from carawayfold.state.patience import WaitEstimator
 
 
 def test_caller_that_retries_has_waited():
-    estimator = Patience()
+    estimator = WaitEstimator()
     for _ in range(20):
         assert estimator.waited(15.0) == 0.0
     assert estimator.waited(13.4) == pytest.approx(1.6)
@@ -16,7 +16,7 @@
 
 
 def test_callers_with_different_initial_timeouts_are_distinguished():
-    estimator = Patience()
+    estimator = WaitEstimator()
     for _ in range(20):
         estimator.waited(15.0)
         estimator.waited(3.0)
@@ -25,11 +25,11 @@
 
 
 def test_unknown_initial_timeout_counts_as_no_wait():
-    assert Patience().waited(2.345) == 0.0
+    assert WaitEstimator().waited(2.345) == 0.0
 
 
 def test_number_of_remembered_values_is_limited():
-    estimator = Patience()
+    estimator = WaitEstimator()
     for number in range(5000):
         estimator.waited(15.0 if number % 2 else number / 1000)
     assert len(estimator.counts) <= 401
--- a/tests/state/test_prefixes.py
+++ b/tests/state/test_prefixes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from carawayfold.protocol.exchanges import Part
-from carawayfold.state.prefixes import KeptPrefixes
+from carawayfold.state.prefixes import PrefixCache
 
 
 def parts(*names):
@@ -11,14 +11,14 @@
 
 
 def test_a_part_counts_only_behind_all_parts_before_it():
-    kept = KeptPrefixes(1000)
+    kept = PrefixCache(1000)
     kept.read(parts("a", "b"))
     assert kept.kept(parts("a", "b", "c")) == 200
     assert kept.kept(parts("x", "b")) == 0
 
 
 def test_least_recently_used_part_is_evicted_first():
-    kept = KeptPrefixes(300)
+    kept = PrefixCache(300)
     kept.read(parts("a"))
     kept.read(parts("b"))
     kept.read(parts("a", "c"))
--- a/tests/state/test_pressure.py
+++ b/tests/state/test_pressure.py
@@ -10,7 +10,7 @@
     MAX_INCREASE_FACTOR,
     MAX_REJECTED_FRACTION,
     TARGET_DELAY,
-    PressureGauge,
+    OverloadDetector,
 )
 
 #: Seconds between two samples of a loop without delay.
@@ -26,18 +26,18 @@
 
 
 def test_loop_below_the_target_delay_rejects_nothing():
-    gauge = PressureGauge()
+    gauge = OverloadDetector()
     now = feed(gauge, [TARGET_DELAY / 2] * 50)
     assert gauge.part == 0
     assert not gauge.is_busy(now)
-    assert not any(gauge.refuses() for _ in range(100))
+    assert not any(gauge.should_reject() for _ in range(100))
 
 
 @pytest.mark.parametrize(
     "delay", [TARGET_DELAY * 1.1, TARGET_DELAY * MAX_INCREASE_FACTOR, 1.0]
 )
 def test_lasting_delay_increases_the_rejected_fraction(delay):
-    gauge = PressureGauge()
+    gauge = OverloadDetector()
     fractions = []
     for _ in range(30):
         feed(gauge, [delay])
@@ -47,26 +47,26 @@
 
 
 def test_rejections_are_evenly_spaced():
-    gauge = PressureGauge(part=0.25)
-    rejected = [gauge.refuses() for _ in range(12)]
+    gauge = OverloadDetector(part=0.25)
+    rejected = [gauge.should_reject() for _ in range(12)]
     assert rejected == [False, False, False, True] * 3
 
 
 def test_single_late_samples_are_not_overload():
-    gauge = PressureGauge()
+    gauge = OverloadDetector()
     feed(gauge, [0.2, 0.001] * 10)
     assert gauge.part == 0
 
 
 def test_process_paused_as_a_whole_is_not_overloaded():
-    gauge = PressureGauge()
+    gauge = OverloadDetector()
     now = feed(gauge, [0.001] * 10)
     gauge.note(4.0, now + 4.0)
     assert gauge.part == 0
 
 
 def test_process_stays_busy_for_a_time_after_the_last_rejection():
-    gauge = PressureGauge()
+    gauge = OverloadDetector()
     now = feed(gauge, [1.0] * 10)
     assert gauge.is_busy(now)
     now = feed(gauge, [0.0] * int(MAX_REJECTED_FRACTION / FRACTION_DECREASE + 1), now)
@@ -77,7 +77,7 @@
 
 
 def test_a_process_that_is_late_for_some_time_is_overloaded():
-    gauge = PressureGauge()
+    gauge = OverloadDetector()
     now = feed(gauge, [0.03] * 2)
     assert not gauge.is_overloaded()
     feed(gauge, [0.1] * 3, now)
--- a/tests/state/test_quarantine.py
+++ b/tests/state/test_quarantine.py
@@ -50,18 +50,18 @@
 
 def test_content_is_remembered_after_its_rejection_ends():
     made = known([entry()])
-    assert made.held_for("c-1", 40.0) == 60.0
-    assert made.held_for("c-1", 100.0) == 0.0
+    assert made.rejection_remaining("c-1", 40.0) == 60.0
+    assert made.rejection_remaining("c-1", 100.0) == 0.0
     assert made.is_suspected("c-1")
     made.expire(200.0)
     assert not made.entries
-    assert not made.concerns("alder")
+    assert not made.has_contents_of("alder")
     assert made.checksum == 0
 
 
 def test_cleared_and_suspected_contents_are_not_rejected():
     for level in (Level.CLEARED, Level.SUSPECTED):
-        assert known([entry(level=level)]).held_for("c-1", 0.0) == 0.0
+        assert known([entry(level=level)]).rejection_remaining("c-1", 0.0) == 0.0
 
 
 def test_suspected_lists_contents_neither_cleared_nor_rejected():
@@ -78,7 +78,7 @@
 def test_an_older_verdict_does_not_replace_a_newer_one():
     made = known([entry(level=Level.CLEARED, stamp=2)])
     assert not made.put(entry(stamp=1))
-    assert made.held_for("c-1", 0.0) == 0.0
+    assert made.rejection_remaining("c-1", 0.0) == 0.0
 
 
 def test_limits_drop_verdicts_of_the_organisation_with_most():
--- a/tests/state/test_rests.py
+++ b/tests/state/test_rests.py
@@ -10,24 +10,28 @@
 
 import pytest
 
-from carawayfold.state.rests import MAX_BACKOFF_DURATION, PROBE_INTERVAL, Rests
+from carawayfold.state.rests import (
+    MAX_BACKOFF_DURATION,
+    PROBE_INTERVAL,
+    EndpointBackoffs,
+)
 from tests.model_check import check
 
 NAME = "e-1"
 
 
 def rested(seconds, now=0.0):
-    rests = Rests()
-    rests.ask(NAME, seconds, now)
+    rests = EndpointBackoffs()
+    rests.request_backoff(NAME, seconds, now)
     return rests
 
 
 def test_backoff_lasts_as_long_as_requested():
     rests = rested(3.0)
-    assert rests.opens_at(NAME, 0.0) == rests.opens_at(NAME, 2.9) == 3.0
-    assert rests.opens_at(NAME, 3.0) == 0.0
-    assert rests.lasts(NAME, 2.9)
-    assert not rests.lasts(NAME, 3.0)
+    assert rests.available_at(NAME, 0.0) == rests.available_at(NAME, 2.9) == 3.0
+    assert rests.available_at(NAME, 3.0) == 0.0
+    assert rests.is_backing_off(NAME, 2.9)
+    assert not rests.is_backing_off(NAME, 3.0)
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
@@ -37,29 +41,29 @@
 
 @pytest.mark.parametrize("seconds", [1e9, float("inf")])
 def test_excessive_duration_is_limited(seconds):
-    assert rested(seconds).opens_at(NAME, 0.0) == MAX_BACKOFF_DURATION
+    assert rested(seconds).available_at(NAME, 0.0) == MAX_BACKOFF_DURATION
 
 
 def test_later_request_does_not_shorten_a_backoff():
     rests = rested(3.0)
-    rests.ask(NAME, 1.0, 0.5)
-    assert rests.opens_at(NAME, 0.5) == 3.0
+    rests.request_backoff(NAME, 1.0, 0.5)
+    assert rests.available_at(NAME, 0.5) == 3.0
 
 
 def test_single_probe_requests_are_sent_after_a_backoff():
     rests = rested(3.0)
     rests.sent(NAME, 3.0)
-    assert rests.opens_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL
+    assert rests.available_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL
     rests.answered(NAME, 2.0)
-    assert rests.opens_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL, "it was sent before"
+    assert rests.available_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL, "it was sent before"
     rests.answered(NAME, 3.0)
-    assert rests.opens_at(NAME, 3.1) == 0.0
+    assert rests.available_at(NAME, 3.1) == 0.0
 
 
 def test_backoff_is_kept_after_its_endpoint_is_deregistered():
     rests = rested(3.0)
     rests.expire({}, 2.9)
-    assert rests.lasts(NAME, 2.9)
+    assert rests.is_backing_off(NAME, 2.9)
     rests.expire({NAME: None}, 3.0)
     assert NAME in rests.entries
     rests.expire({}, 3.0)
@@ -80,7 +84,7 @@
     """A router's backoffs, and the end of the backoff that the endpoint requested."""
 
     def __init__(self):
-        self.rests = Rests()
+        self.rests = EndpointBackoffs()
         self.now = 0.0
         self.until = 0.0
         self.sent_at = 0.0
@@ -99,18 +103,18 @@
         else:
             asked = 3.0 if event is Event.ASKS_LONG else 1.0
             self.until = max(self.until, self.now + asked)
-            self.rests.ask(NAME, asked, self.now)
+            self.rests.request_backoff(NAME, asked, self.now)
         return self._is_endless()
 
     def _send(self):
-        if self.rests.opens_at(NAME, self.now):
+        if self.rests.available_at(NAME, self.now):
             return False
         self.rests.sent(NAME, self.now)
         self.sent_at = self.now
         return self.now < self.until
 
     def _is_endless(self):
-        return bool(self.rests.opens_at(NAME, max(self.now, self.until) + 1.0))
+        return bool(self.rests.available_at(NAME, max(self.now, self.until) + 1.0))
 
     def key(self):
         found = self.rests.entries.get(NAME)
--- a/tests/state/test_service_rows.py
+++ b/tests/state/test_service_rows.py
@@ -8,8 +8,8 @@
 from carawayfold.state.ids import OrganisationId, RouterId, ServiceId
 from carawayfold.state.service_rows import (
     LOCAL_ROW_TIMEOUT,
-    SEEN_LIFETIME,
-    OwnRows,
+    PEER_ROW_TIMEOUT,
+    LocalRows,
     RowCursor,
 )
 
@@ -22,10 +22,10 @@
 
     def __init__(self):
         self.now = 0.0
-        self.rows = OwnRows(lambda: self.now)
+        self.rows = LocalRows(lambda: self.now)
         self.book = ServiceAccounts(RouterId("one"), self.rows, lambda _: 1.0)
         self.peer = ServiceAccounts(
-            RouterId("two"), OwnRows(lambda: self.now), lambda _: 1.0
+            RouterId("two"), LocalRows(lambda: self.now), lambda _: 1.0
         )
         self.names = NameTable()
         self.cursor = RowCursor()
@@ -89,7 +89,7 @@
     pair.serve(30)
     pair.send()
     assert pair.service_received() == 130
-    pair.now += SEEN_LIFETIME + 1
+    pair.now += PEER_ROW_TIMEOUT + 1
     pair.tidy()
     assert not pair.peer.seen["one"]
     pair.serve(7)
@@ -100,6 +100,6 @@
 def test_running_work_keeps_its_row():
     pair = Pair()
     pair.rows.change(SURVEY, ALDER, in_flight=1)
-    pair.now += 10 * SEEN_LIFETIME
+    pair.now += 10 * PEER_ROW_TIMEOUT
     pair.tidy()
     assert pair.rows.rows
--- a/tests/state/test_usage.py
+++ b/tests/state/test_usage.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from carawayfold.state.usage import UsageBook, max_min_level
+from carawayfold.state.usage import UsageTable, max_min_level
 
 
 def test_demands_below_the_fair_share_are_met():
@@ -23,33 +23,33 @@
 
 
 def test_small_organisation_is_within_its_share_beside_an_overloading_one():
-    table = UsageBook(4.0)
+    table = UsageTable(4.0)
     for _ in range(100):
         table.asked("flood", 1.0, 1000)
     table.asked("small", 1.0, 1000)
     table.granted("flood", 1.0, 39_000)
     table.refresh(1.0, 10_000)
-    assert table.is_owed("small", 1000)
-    assert not table.is_owed("flood", 1000)
+    assert table.is_within_share("small", 1000)
+    assert not table.is_within_share("flood", 1000)
 
 
 def test_tokens_older_than_the_window_do_not_count():
-    table = UsageBook(4.0)
+    table = UsageTable(4.0)
     table.asked("flood", 1.0, 100_000)
     table.granted("flood", 1.0, 39_500)
     table.refresh(1.0, 10_000)
-    assert not table.is_owed("flood", 1000)
+    assert not table.is_within_share("flood", 1000)
     table.asked("flood", 5.5, 100_000)
     table.refresh(5.5, 10_000)
-    assert table.is_owed("flood", 1000)
+    assert table.is_within_share("flood", 1000)
 
 
 def test_organisation_with_far_less_than_the_best_served_is_underserved():
-    table = UsageBook(4.0)
+    table = UsageTable(4.0)
     for name, got in (("one", 1000), ("two", 9000), ("modest", 500)):
         table.asked(name, 1.0, 500 if name == "modest" else 20_000)
         table.granted(name, 1.0, got)
     table.refresh(1.0, 10_000)
-    assert table.is_behind("one")
-    assert not table.is_behind("two")
-    assert not table.is_behind("modest")
+    assert table.is_underserved("one")
+    assert not table.is_underserved("two")
+    assert not table.is_underserved("modest")
