--- a/carawayfold/application.py
+++ b/carawayfold/application.py
@@ -58,7 +58,7 @@
 from carawayfold.transport.links import CHANNEL_OPTIONS, Links
 from carawayfold.transport.loop import Root
 from carawayfold.transport.probes import probe
-from carawayfold.transport.rpc import OperatorGate, PeerService, RpcServer
+from carawayfold.transport.rpc import OperatorAuthenticator, PeerService, RpcServer
 from carawayfold.transport.server import EdgeServer
 
 if TYPE_CHECKING:
@@ -101,10 +101,10 @@
     log of that platform has no permanent records.
     """
 
-    async def keep_verdict(self, record: QuarantineRecord) -> None:
+    async def store_verdict(self, record: QuarantineRecord) -> None:
         """Discard the verdict."""
 
-    async def drop_verdict(self, content: ContentId) -> None:
+    async def delete_verdict(self, content: ContentId) -> None:
         """Do nothing; no verdict is stored."""
 
 
@@ -204,7 +204,7 @@
         peer = PeerService(
             self.links, self.follower, pack, self.calls.at_most_once.outcome_of
         )
-        admin = AdminService(self, OperatorGate(self.settings))
+        admin = AdminService(self, OperatorAuthenticator(self.settings))
         async with RpcServer(self.settings, peer, admin) as rpc:
             self._handle_signals()
             self._spawn(follow(self.follower.step))
--- a/carawayfold/coordination/containment/containment.py
+++ b/carawayfold/coordination/containment/containment.py
@@ -56,7 +56,7 @@
     from carawayfold.settings import Address
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import ContentId, OrganisationId
-    from carawayfold.transport.probes import Reach
+    from carawayfold.transport.probes import ProbeResult
 
 logger = logbook.Logger(__name__)
 
@@ -119,7 +119,7 @@
         fleet: Fleet,
         registered: Callable[[EndpointId], Endpoint | None],
         endpoint_activity: EndpointActivity,
-        probe: Callable[[Address], Awaitable[Reach]],
+        probe: Callable[[Address], Awaitable[ProbeResult]],
         records: VerdictStore,
         spawn: Callable[[Coroutine[None, None, None]], None],
         on_quarantined: Callable[[ContentId], None] = lambda content: None,
--- a/carawayfold/coordination/containment/crash_reports.py
+++ b/carawayfold/coordination/containment/crash_reports.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from carawayfold.protocol.datagrams import CrashMessage
-from carawayfold.transport.probes import Reach
+from carawayfold.transport.probes import ProbeResult
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Coroutine
@@ -127,7 +127,7 @@
         self,
         fleet: Fleet,
         endpoint_activity: EndpointActivity,
-        probe: Callable[[Address], Awaitable[Reach]],
+        probe: Callable[[Address], Awaitable[ProbeResult]],
         on_own_report: Callable[[CrashMessage, RouterId], None],
         on_lost: Callable[[EndpointId], None],
         spawn: Callable[[Coroutine[None, None, None]], None],
@@ -159,7 +159,7 @@
             await asyncio.sleep(delay)
             reach = await self.probe(endpoint.address)
             alive = self.endpoint_activity.last_byte_at.get(endpoint.id, 0.0) > begun
-            if alive or reach is Reach.REFUSED:
+            if alive or reach is ProbeResult.REFUSED:
                 break
         losses = self.probed.pop(endpoint.id)
         logger.info(
@@ -175,10 +175,10 @@
             return
         # A proxy in front of an endpoint may accept connections although the endpoint
         # has ended; its registration decides then.
-        if reach is Reach.REFUSED:
+        if reach is ProbeResult.REFUSED:
             self.on_lost(endpoint.id)
         for loss in losses:
-            self._create_report(loss, reach is Reach.REFUSED)
+            self._create_report(loss, reach is ProbeResult.REFUSED)
 
     def _create_report(self, loss: LostAttempt, refused: bool) -> None:
         report = PendingReport(loss, refused)
--- a/carawayfold/coordination/containment/verdict_records.py
+++ b/carawayfold/coordination/containment/verdict_records.py
@@ -98,9 +98,9 @@
         while self.quarantine.get(entry.content) is entry:
             try:
                 if entry.level.is_clear:
-                    await self.records.drop_verdict(entry.content)
+                    await self.records.delete_verdict(entry.content)
                 else:
-                    await self.records.keep_verdict(self._to_record(entry))
+                    await self.records.store_verdict(self._to_record(entry))
             except SourceError as error:
                 extra = {"content": entry.content, "reason": str(error)}
                 logger.info(
--- a/carawayfold/coordination/knowledge/administration.py
+++ b/carawayfold/coordination/knowledge/administration.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from carawayfold.application import Application
-    from carawayfold.transport.rpc import OperatorGate
+    from carawayfold.transport.rpc import OperatorAuthenticator
 
 REPLY_STATES = {
     ChangeState.ACCEPTED: admin_pb2.ChangeReply.ACCEPTED,
@@ -37,7 +37,7 @@
         Checks tokens.
     """
 
-    def __init__(self, application: Application, gate: OperatorGate) -> None:
+    def __init__(self, application: Application, gate: OperatorAuthenticator) -> None:
         self.application = application
         self.gate = gate
 
--- a/carawayfold/coordination/knowledge/followers.py
+++ b/carawayfold/coordination/knowledge/followers.py
@@ -13,14 +13,14 @@
 import logbook
 
 from carawayfold.coordination.backoff import Backoff
-from carawayfold.protocol.sources import HistoryLost, NoAnswer, SourceError
+from carawayfold.protocol.sources import RecordsNotRetained, SourceError, SourceTimeout
 from carawayfold.state.positions import offset_of
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
     from carawayfold.coordination.knowledge.knowledge import Knowledge
-    from carawayfold.protocol.sources import Evacuation, Page, Registered, Source
+    from carawayfold.protocol.sources import EndpointChange, Evacuation, Page, Source
     from carawayfold.state.ids import Position
     from carawayfold.state.routes import RouteTable
 
@@ -114,7 +114,7 @@
                 await self.step()
                 self.backoff.reset()
                 self.failures = 0
-            except HistoryLost:
+            except RecordsNotRetained:
                 begun = offset_of(self.next) if self.next is not None else None
                 logger.info(
                     "history lost; reading the newest records", extra={"from": begun}
@@ -131,7 +131,7 @@
 
     def _next_delay(self, error: SourceError, lasted: float) -> float:
         """Return the delay in seconds before the next call after one that failed."""
-        if isinstance(error, NoAnswer):
+        if isinstance(error, SourceTimeout):
             return self.no_answer_delay()
         return max(0.0, self.backoff.next_delay() - lasted)
 
@@ -193,7 +193,7 @@
             async with asyncio.timeout(probe_timeout):
                 return await self.source.read(start, 0.0)
         except TimeoutError:
-            raise NoAnswer("no answer in time") from None
+            raise SourceTimeout("no answer in time") from None
 
 
 def follow_operators(
@@ -218,7 +218,7 @@
 
 
 def follow_endpoints(
-    source: Source[Registered],
+    source: Source[EndpointChange],
     knowledge: Knowledge,
     wait_for_turn: Callable[[], Awaitable[None]],
     reads_for_others: Callable[[], bool],
--- a/carawayfold/coordination/knowledge/knowledge.py
+++ b/carawayfold/coordination/knowledge/knowledge.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from carawayfold.protocol.sources import Page, Registered, SourceError
+    from carawayfold.protocol.sources import EndpointChange, Page, SourceError
     from carawayfold.state.ids import EndpointId, RouterId
     from carawayfold.state.routes import RouteTable
 
@@ -234,7 +234,7 @@
             logger.info("evacuation over", extra=extra)
         self.on_endpoints()
 
-    def apply_registrations(self, page: Page[Registered]) -> None:
+    def apply_registrations(self, page: Page[EndpointChange]) -> None:
         """Apply registrations that were read from the store.
 
         Records already contained in a peer's list are skipped: an earlier record would
@@ -248,7 +248,7 @@
         self.endpoints.offset = max(self.endpoints.offset, page.next)
         self._notify_if_changed(changed, now)
 
-    def apply_listing(self, page: Page[Registered]) -> None:
+    def apply_listing(self, page: Page[EndpointChange]) -> None:
         """Apply the complete list of registrations unless newer records are known."""
         if self.listed and page.next < self.endpoints.offset:
             return
@@ -377,7 +377,7 @@
             },
         )
 
-    def _apply(self, item: Registered, now: float, offset: Position) -> bool:
+    def _apply(self, item: EndpointChange, now: float, offset: Position) -> bool:
         known = self.endpoints.entries.get(item.name)
         if item.endpoint is None:
             removed = self.endpoints.remove(item.name, now)
--- a/carawayfold/coordination/knowledge/notices.py
+++ b/carawayfold/coordination/knowledge/notices.py
@@ -25,7 +25,7 @@
     from carawayfold.coordination.fleet.fleet import Fleet
     from carawayfold.coordination.knowledge.knowledge import Knowledge
     from carawayfold.protocol.datagrams import Datagram, Message
-    from carawayfold.protocol.exchanges import Answered
+    from carawayfold.protocol.exchanges import ResponseFields
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.rests import EndpointBackoffs
 
@@ -75,7 +75,7 @@
         )
 
     def handle_response(
-        self, endpoint: Endpoint, answered: Answered, sent_at: float
+        self, endpoint: Endpoint, answered: ResponseFields, sent_at: float
     ) -> None:
         """Handle the notices in the head of a response.
 
--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from carawayfold.coordination.requests.forwarding import ForwardedCall, Forwarder
     from carawayfold.coordination.scheduling.offers import BlockReason
-    from carawayfold.protocol.exchanges import Answered
+    from carawayfold.protocol.exchanges import ResponseFields
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import CallId
     from carawayfold.transport.client import Connection, Head
@@ -95,7 +95,7 @@
         self.copy_source = request.copy_source
         self.loop = forwarder.loop
         self.connection: Connection | None = None
-        self.answer_head: Answered | None = None
+        self.answer_head: ResponseFields | None = None
         self.body: list[bytes] = []
         self.body_size = 0
         self.events: NumberedEvents | None = None
@@ -165,7 +165,9 @@
             incoming.body,
             self._on_head,
             self._on_data,
-            belongs=lambda head: self.forwarder.dialect.answers(call.parsed, head),
+            is_own_response=lambda head: self.forwarder.dialect.answers(
+                call.parsed, head
+            ),
             **options,
         )
         self.exchange = self.connection.exchange
--- a/carawayfold/coordination/requests/claims.py
+++ b/carawayfold/coordination/requests/claims.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from carawayfold.errors import ErrorKind, Refusal
-from carawayfold.protocol.log_service import RETRY_WAIT, PlatformError
+from carawayfold.protocol.log_service import RETRY_DELAY, PlatformError
 from carawayfold.state.claims import (
     AnswerStore,
     Batch,
@@ -224,7 +224,7 @@
                     extra={"reason": str(error)},
                 )
                 self.append_needed.set()
-                await asyncio.sleep(RETRY_WAIT)
+                await asyncio.sleep(RETRY_DELAY)
             await asyncio.sleep(self.append_interval)
 
     def limit_append_rate(self, routers: int) -> None:
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -39,7 +39,7 @@
     from carawayfold.coordination.knowledge.notices import EndpointNotices
     from carawayfold.coordination.scheduling.coordinator import SchedulingCoordinator
     from carawayfold.coordination.scheduling.offers import Basis
-    from carawayfold.protocol.exchanges import Answered, Asked, Dialect
+    from carawayfold.protocol.exchanges import Dialect, RequestFields, ResponseFields
     from carawayfold.state.budget import RetryBudget
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.forwarded import ForwardMetrics
@@ -140,7 +140,7 @@
     """
 
     incoming: Incoming
-    parsed: Asked
+    parsed: RequestFields
     route: Route
     service: ServiceId
     organisation: OrganisationId
@@ -259,9 +259,9 @@
         self.budget.request(call.service, self.loop.time())
         task = self.loop.create_task(self._run(call))
         self.calls[call] = task
-        incoming.on_gone = task.cancel
+        incoming.on_disconnect = task.cancel
 
-    def _open_call(self, incoming: Incoming, parsed: Asked) -> ForwardedCall:
+    def _open_call(self, incoming: Incoming, parsed: RequestFields) -> ForwardedCall:
         if self.route_index is None:
             raise Refusal(ErrorKind.NOT_READY)
         routes = self.route_index.table
@@ -290,7 +290,7 @@
         )
 
     def _organisation(
-        self, routes: RouteTable, route: Route, parsed: Asked
+        self, routes: RouteTable, route: Route, parsed: RequestFields
     ) -> OrganisationId:
         if route.anonymous or not routes.organisations:
             return ANONYMOUS
@@ -575,13 +575,15 @@
 
     # Answers
 
-    def answer(self, call: ForwardedCall, answer_head: Answered, body: bytes) -> None:
+    def answer(
+        self, call: ForwardedCall, answer_head: ResponseFields, body: bytes
+    ) -> None:
         """Send an endpoint's complete answer to the caller."""
         call.status = answer_head.status
         call.first_byte_at = self.loop.time()
         call.incoming.answer(answer_head.status, answer_head.forwarded, body)
 
-    def begin(self, call: ForwardedCall, answer_head: Answered) -> None:
+    def begin(self, call: ForwardedCall, answer_head: ResponseFields) -> None:
         """Send the head of an endpoint's streamed answer to the caller."""
         call.status = answer_head.status
         call.first_byte_at = self.loop.time()
@@ -600,7 +602,7 @@
     def _refuse(
         self,
         incoming: Incoming,
-        parsed: Asked | None,
+        parsed: RequestFields | None,
         refusal: Refusal,
         content: ContentId | str,
     ) -> None:
@@ -621,7 +623,7 @@
         self._send_refusal(incoming, parsed, refusal)
 
     def _send_refusal(
-        self, incoming: Incoming, parsed: Asked | None, refusal: Refusal
+        self, incoming: Incoming, parsed: RequestFields | None, refusal: Refusal
     ) -> None:
         self.metrics.refused(refusal.kind)
         headers = self.dialect.refusal_headers(parsed, refusal)
--- a/carawayfold/coordination/requests/relay.py
+++ b/carawayfold/coordination/requests/relay.py
@@ -134,7 +134,7 @@
             if resumes == MAX_RESUMES or not self._can_resume():
                 raise self._broken_refusal("the stream ended before its closing event")
             resumes += 1
-            self.scanner.drop_rest()
+            self.scanner.discard_incomplete()
             path = f"/v1/streams/{request.request_id}?from={self.scanner.events}"
             await self._exchange("GET", path, headers[-1:], b"")
         return self._complete_answer()
@@ -204,7 +204,7 @@
             limit = (
                 self.settings.connect_timeout if connecting else self.settings.silence
             )
-            silent_for = loop.time() - connection.heard
+            silent_for = loop.time() - connection.last_received
             if silent_for >= limit:
                 phase = Phase.CONNECTING if connecting else exchange.phase
                 self.http.cancel(connection)
--- a/carawayfold/coordination/scheduling/caches.py
+++ b/carawayfold/coordination/scheduling/caches.py
@@ -21,7 +21,7 @@
         PoolState,
         SchedulingCoordinator,
     )
-    from carawayfold.protocol.sources import CacheSource
+    from carawayfold.protocol.sources import CacheReporter
     from carawayfold.state.endpoints import Endpoint
     from carawayfold.state.ids import EndpointId, PoolId
 
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        source: CacheSource,
+        source: CacheReporter,
         coordinator: SchedulingCoordinator,
         spawn: Callable[[Coroutine[None, None, None]], None],
     ) -> None:
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -187,7 +187,7 @@
 
     def received(self, link: Link, frame: peer_pb2.Frame) -> None:
         """Process a frame from a peer; an invalid one closes the link."""
-        first = not link.greeted
+        first = not link.hello_received
         if frame.HasField("hello"):
             self._greet(link, frame.hello)
         router = RouterId(link.router)
@@ -217,7 +217,7 @@
             self._take_grant(link, grant)
         take_messages(frame.messages, self.on_datagram)
         if first:
-            link.greeted = True
+            link.hello_received = True
             self.reassign()
             self.on_greeted(link)
         if frame.reports:
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -169,7 +169,7 @@
         self.pressure = OverloadDetector()
         self.shed = ShedLog(self.metrics)
         self.front.should_reject = self.pressure.should_reject
-        self.front.on_shed = self.shed.note
+        self.front.on_rejected = self.shed.note
         self.checks = self._listen(settings.ready_listen, self._serve_check, "checks")
         self.peer_edge = self._listen(settings.peer_listen, self._serve_peer, "inner")
         self.tasks: set[asyncio.Task[None]] = set()
@@ -330,7 +330,7 @@
         end = start + self.settings.stop_grace - STOP_MARGIN
         await asyncio.sleep(min(STOP_NOTICE_DURATION, max(0.0, end - loop.time())))
         # A request accepted later could not finish before the process is killed.
-        self.front.shut()
+        self.front.stop_accepting()
         while loop.time() < end and (self.forwarder.calls or self.front.connections):
             await asyncio.sleep(STOP_POLL_INTERVAL)
             self.front.close_idle()
--- a/carawayfold/platform/headers.py
+++ b/carawayfold/platform/headers.py
@@ -6,7 +6,13 @@
 from typing import TYPE_CHECKING
 
 from carawayfold.errors import ErrorKind, Refusal
-from carawayfold.protocol.exchanges import Answered, Asked, HeaderList, Load, Part
+from carawayfold.protocol.exchanges import (
+    HeaderList,
+    Load,
+    Part,
+    RequestFields,
+    ResponseFields,
+)
 from carawayfold.state.ids import OrganisationId, PartId, RequestId
 from carawayfold.state.routes import ANONYMOUS
 
@@ -79,7 +85,7 @@
     Implements `carawayfold.protocol.exchanges.Dialect`.
     """
 
-    def read_request(self, headers: list[tuple[bytes, bytes]]) -> Asked:
+    def read_request(self, headers: list[tuple[bytes, bytes]]) -> RequestFields:
         """Return the fields decoded from the headers of a request.
 
         Raises
@@ -97,7 +103,7 @@
             values[name] = value
         prompt_tokens, output_tokens = _token_usage(values.get(TOKENS, ""))
         estimate = values.get(OUTPUT_ESTIMATE, "")
-        return Asked(
+        return RequestFields(
             id=RequestId(values.get(REQUEST_ID, "")),
             host=values.get("host", "").partition(":")[0].lower(),
             key=values.get(API_KEY, ""),
@@ -112,7 +118,7 @@
 
     def request_headers(
         self,
-        asked: Asked,
+        asked: RequestFields,
         endpoint: Endpoint,
         organisation: OrganisationId,
         time_left: float,
@@ -134,13 +140,13 @@
             headers.append((COPY_FROM, str(copy_source.address)))
         return headers
 
-    def answers(self, asked: Asked, head: Head) -> bool:
+    def answers(self, asked: RequestFields, head: Head) -> bool:
         """Return whether a response head has the id of the request, or none."""
         return head.headers.get(REQUEST_ID, asked.id) == asked.id
 
-    def read_answer(self, head: Head) -> Answered:
+    def read_answer(self, head: Head) -> ResponseFields:
         """Return the fields decoded from the head of a response."""
-        return Answered(
+        return ResponseFields(
             status=head.status,
             not_run=NOT_RUN in head.headers or head.status == MISDIRECTED,
             misdirected=head.status == MISDIRECTED,
@@ -151,7 +157,9 @@
             rest=_requested_backoff(head),
         )
 
-    def refusal_headers(self, asked: Asked | None, refusal: Refusal) -> HeaderList:
+    def refusal_headers(
+        self, asked: RequestFields | None, refusal: Refusal
+    ) -> HeaderList:
         """Return the headers of a response that rejects a request."""
         headers: HeaderList = []
         if asked is not None and asked.id:
--- a/carawayfold/platform/store.py
+++ b/carawayfold/platform/store.py
@@ -13,18 +13,18 @@
 
 from carawayfold.platform import records
 from carawayfold.protocol.sources import (
+    EndpointChange,
     Evacuation,
-    HistoryLost,
-    NoAnswer,
     Page,
     PeerEntry,
     QuarantineRecord,
-    Registered,
+    RecordsNotRetained,
     SourceError,
+    SourceTimeout,
 )
 from carawayfold.state.ids import DataCentreId, EndpointName, Position
 from carawayfold.state.positions import era_of, offset_of, position
-from carawayfold.transport.client import ExchangeError, NoAnswerError
+from carawayfold.transport.client import ExchangeError, ResponseTimeoutError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -146,7 +146,7 @@
             if first_end is None:
                 first_end = position(answer.era, page.end)
             elif era_of(first_end) != answer.era:
-                raise HistoryLost("the store came back from a copy")
+                raise RecordsNotRetained("the store came back from a copy")
             found.extend(_listed_record(item) for item in page.entries)
             if not page.more_pages or not page.entries:
                 return Page(found, first_end)
@@ -167,7 +167,7 @@
         )
         answer = await self._call("GET", path, timeout=READ_TIMEOUT_MARGIN + wait)
         if answer.era != era_of(start):
-            raise HistoryLost("the store came back from a copy")
+            raise RecordsNotRetained("the store came back from a copy")
         return _decode_records(answer.body, start)
 
     async def append(self, topic: str, key: str, value: bytes) -> None:
@@ -186,14 +186,14 @@
             answer = await self.http.fetch(
                 self.address, method, path, body, timeout or TIMEOUT
             )
-        except NoAnswerError as error:
+        except ResponseTimeoutError as error:
             # The cause of a missing response may affect all open connections.
             self.http.drop_idle(self.address)
-            raise NoAnswer(str(error)) from error
+            raise SourceTimeout(str(error)) from error
         except ExchangeError as error:
             raise SourceError(str(error)) from error
         if answer.head.status == 410:
-            raise HistoryLost("the records are no longer kept")
+            raise RecordsNotRetained("the records are no longer kept")
         if answer.head.status != 200:
             raise SourceError(f"status {answer.head.status}")
         return StoreAnswer(_era(answer.head), answer.body)
@@ -273,12 +273,12 @@
         value = msgspec.json.encode(entry)
         await self.store.append(PEER_TOPIC, entry.router, value)
 
-    async def keep_verdict(self, record: QuarantineRecord) -> None:
+    async def store_verdict(self, record: QuarantineRecord) -> None:
         """Write the quarantine record of a content."""
         value = msgspec.json.encode(record)
         await self.store.append(PEER_TOPIC, CONTENT_KEY_PREFIX + record.content, value)
 
-    async def drop_verdict(self, content: ContentId) -> None:
+    async def delete_verdict(self, content: ContentId) -> None:
         """Remove the quarantine record of a content."""
         await self.store.append(PEER_TOPIC, CONTENT_KEY_PREFIX + content, b"")
 
@@ -288,7 +288,7 @@
     return StoreSource(store, CONFIG_TOPIC, _decode_operator_record)
 
 
-def endpoint_source(store: StoreClient) -> StoreSource[Registered]:
+def endpoint_source(store: StoreClient) -> StoreSource[EndpointChange]:
     """Return the source of endpoints' registrations."""
     return StoreSource(store, ENDPOINT_TOPIC, _decode_registered, _not_registered)
 
@@ -302,16 +302,16 @@
     return records.decode_routes(record.value)
 
 
-def _decode_registered(record: Record) -> Registered:
+def _decode_registered(record: Record) -> EndpointChange:
     if not record.value:
         return _not_registered(record)
     now = asyncio.get_running_loop().time()
     endpoint = records.decode_endpoint(record.key, record.value, now)
-    return Registered(endpoint.name, endpoint)
+    return EndpointChange(endpoint.name, endpoint)
 
 
-def _not_registered(record: Record) -> Registered:
-    return Registered(EndpointName(record.key), None)
+def _not_registered(record: Record) -> EndpointChange:
+    return EndpointChange(EndpointName(record.key), None)
 
 
 def _decode_directory_record(record: Record) -> PeerEntry | QuarantineRecord | None:
--- a/carawayfold/protocol/exchanges.py
+++ b/carawayfold/protocol/exchanges.py
@@ -23,7 +23,7 @@
     tokens: int
 
 
-class Asked(msgspec.Struct, frozen=True):
+class RequestFields(msgspec.Struct, frozen=True):
     """Contents of the headers of a request.
 
     Attributes
@@ -64,7 +64,7 @@
     slots: int
 
 
-class Answered(msgspec.Struct, frozen=True):
+class ResponseFields(msgspec.Struct, frozen=True):
     """Contents of the head of a response from an endpoint.
 
     Attributes
@@ -98,12 +98,12 @@
 class Dialect(Protocol):
     """Header format of requests and responses of callers and endpoints."""
 
-    def read_request(self, headers: list[tuple[bytes, bytes]]) -> Asked:
+    def read_request(self, headers: list[tuple[bytes, bytes]]) -> RequestFields:
         """Parse the headers of a request; raise `Refusal` if they are invalid."""
 
     def request_headers(
         self,
-        asked: Asked,
+        asked: RequestFields,
         endpoint: Endpoint,
         organisation: OrganisationId,
         time_left: float,
@@ -116,11 +116,13 @@
         `time_left` is in seconds.
         """
 
-    def answers(self, asked: Asked, head: Head) -> bool:
+    def answers(self, asked: RequestFields, head: Head) -> bool:
         """Return whether the head of a response belongs to the request."""
 
-    def read_answer(self, head: Head) -> Answered:
+    def read_answer(self, head: Head) -> ResponseFields:
         """Parse the head of a response."""
 
-    def refusal_headers(self, asked: Asked | None, refusal: Refusal) -> HeaderList:
+    def refusal_headers(
+        self, asked: RequestFields | None, refusal: Refusal
+    ) -> HeaderList:
         """Return the headers of a response that rejects a request."""
--- a/carawayfold/protocol/log_service.py
+++ b/carawayfold/protocol/log_service.py
@@ -23,7 +23,7 @@
 #: Seconds after which a call of the platform without a response fails.
 TIMEOUT = 3.0
 #: Seconds between a failed read of the log and the next one.
-RETRY_WAIT = 0.3
+RETRY_DELAY = 0.3
 #: Maximum number of records per read.
 MAX_RECORDS_PER_READ = 1000
 
@@ -137,7 +137,7 @@
             await step()
         except PlatformError as error:
             logger.debug("log unreachable", extra={"reason": str(error)})
-            await asyncio.sleep(RETRY_WAIT)
+            await asyncio.sleep(RETRY_DELAY)
 
 
 async def list_instances(http: HttpClient, address: Address) -> list[Instance]:
--- a/carawayfold/protocol/sources.py
+++ b/carawayfold/protocol/sources.py
@@ -30,15 +30,15 @@
     """A source did not respond, or its response was invalid."""
 
 
-class NoAnswer(SourceError):
+class SourceTimeout(SourceError):
     """A source did not respond in time; the operation may still take effect."""
 
 
-class HistoryLost(SourceError):
+class RecordsNotRetained(SourceError):
     """The requested records are no longer retained; read the newest ones instead."""
 
 
-class Registered(msgspec.Struct, frozen=True):
+class EndpointChange(msgspec.Struct, frozen=True):
     """An endpoint entry was written, or removed if `endpoint` is None."""
 
     name: EndpointName
@@ -119,10 +119,10 @@
 class VerdictStore(Protocol):
     """Stores quarantine verdicts on contents."""
 
-    async def keep_verdict(self, record: QuarantineRecord) -> None:
+    async def store_verdict(self, record: QuarantineRecord) -> None:
         """Store the record of a quarantined content."""
 
-    async def drop_verdict(self, content: ContentId) -> None:
+    async def delete_verdict(self, content: ContentId) -> None:
         """Record that a content is no longer quarantined."""
 
 
@@ -138,7 +138,7 @@
         """Write the entry of this router."""
 
 
-class CacheSource(Protocol):
+class CacheReporter(Protocol):
     """Reports the contents of the prompt caches of model engines."""
 
     async def kept(self, endpoint: Endpoint) -> list[Part]:
--- a/carawayfold/protocol/sse.py
+++ b/carawayfold/protocol/sse.py
@@ -64,6 +64,6 @@
             raise ValueError("the stream goes on after its closing event")
         self.finished = True
 
-    def drop_rest(self) -> None:
+    def discard_incomplete(self) -> None:
         """Discard the bytes of an incomplete event before the stream is resumed."""
         self.rest = b""
--- a/carawayfold/transport/client.py
+++ b/carawayfold/transport/client.py
@@ -65,7 +65,7 @@
         self.reused = reused
 
 
-class NoAnswerError(ExchangeError):
+class ResponseTimeoutError(ExchangeError):
     """No complete response arrived within the timeout."""
 
 
@@ -117,7 +117,7 @@
     on_data: Callable[[bytes], None]
     done: asyncio.Future[None]
     phase: Phase = Phase.CONNECTING
-    belongs: Callable[[Head], bool] | None = None
+    is_own_response: Callable[[Head], bool] | None = None
     skipping: bool = False
     method: str = "GET"
 
@@ -145,7 +145,7 @@
     connected: bool = False
     exchange: Exchange | None = None
     outgoing: bytearray = msgspec.field(default_factory=bytearray)
-    heard: float = 0.0
+    last_received: float = 0.0
     opened: float = 0.0
     used: int = 0
     reuse_timeout: float = IDLE_TIMEOUT
@@ -172,7 +172,7 @@
         on_head: Callable[[Head], None],
         on_data: Callable[[bytes], None],
         fresh: bool = False,
-        belongs: Callable[[Head], bool] | None = None,
+        is_own_response: Callable[[Head], bool] | None = None,
         idle_most: float = IDLE_TIMEOUT,
     ) -> Connection:
         """Start an exchange and return the connection that carries it.
@@ -204,13 +204,17 @@
         """
         loop = asyncio.get_running_loop()
         exchange = Exchange(
-            on_head, on_data, loop.create_future(), belongs=belongs, method=method
+            on_head,
+            on_data,
+            loop.create_future(),
+            is_own_response=is_own_response,
+            method=method,
         )
         idle = None if fresh else self._take_idle(address, idle_most)
         connection = idle or self._connect(address)
         connection.exchange = exchange
         connection.reader = ResponseReader(method)
-        connection.heard = loop.time()
+        connection.last_received = loop.time()
         connection.used += 1
         connection.outgoing += self._encode(connection, method, path, headers, body)
         if connection.connected:
@@ -245,7 +249,7 @@
         except TimeoutError:
             age = asyncio.get_running_loop().time() - connection.opened
             reason = f"no answer in time, connection {age:.1f} s old"
-            raise NoAnswerError(exchange.phase, reason) from None
+            raise ResponseTimeoutError(exchange.phase, reason) from None
         finally:
             if not exchange.done.done() or exchange.done.cancelled():
                 self.cancel(connection)
@@ -267,10 +271,10 @@
         while idle:
             # The list is ordered by idle time, with the most recently used last.
             connection = idle[-1]
-            if now - connection.heard >= connection.reuse_timeout:
+            if now - connection.last_received >= connection.reuse_timeout:
                 self._close(connection)
                 continue
-            if now - connection.heard >= idle_most:
+            if now - connection.last_received >= idle_most:
                 return None
             idle.pop()
             return connection
@@ -285,7 +289,7 @@
         """Close connections whose idle timeout has expired."""
         now = asyncio.get_running_loop().time()
         for idle in list(self.idle.values()):
-            while idle and now - idle[0].heard >= idle[0].reuse_timeout:
+            while idle and now - idle[0].last_received >= idle[0].reuse_timeout:
                 self._close(idle[0])
 
     def _connect(self, address: Address) -> Connection:
@@ -370,7 +374,7 @@
             # Data or end of stream on an idle connection: it cannot be reused.
             self._close(connection)
             return
-        connection.heard = asyncio.get_running_loop().time()
+        connection.last_received = asyncio.get_running_loop().time()
         self._parse(connection, data)
 
     def _parse(self, connection: Connection, data: bytes) -> None:
@@ -416,7 +420,7 @@
     def _handle_head(
         self, connection: Connection, exchange: Exchange, head: Head
     ) -> None:
-        if exchange.belongs is not None and not exchange.belongs(head):
+        if exchange.is_own_response is not None and not exchange.is_own_response(head):
             exchange.skipping = True
             return
         exchange.skipping = False
--- a/carawayfold/transport/edge.py
+++ b/carawayfold/transport/edge.py
@@ -141,7 +141,7 @@
     answered: bool = False
     chunked: bool = False
     left: int | None = None
-    on_gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     def answer(
         self,
@@ -331,7 +331,7 @@
             b"Content-Length: 0\r\n\r\n" % (named, SHED_RETRY_AFTER, close)
         )
         self.rejected_head = b""
-        self.edge.on_shed(found.group(2).decode("ascii") if found else "")
+        self.edge.on_rejected(found.group(2).decode("ascii") if found else "")
         if closing:
             self.close()
         else:
@@ -451,8 +451,8 @@
         self.edge.connections.pop(self.sock, None)
         request = self.request
         self.request = None
-        if request is not None and not request.answered and request.on_gone:
-            request.on_gone()
+        if request is not None and not request.answered and request.on_disconnect:
+            request.on_disconnect()
 
 
 class Edge(BaseComponent):
@@ -487,7 +487,7 @@
         #: `refuses` returns whether to reject the next request because this process is
         #: overloaded; `on_rejected` receives the id of each request rejected for that.
         self.should_reject: Callable[[], bool] = lambda: False
-        self.on_shed: Callable[[str], None] = lambda request: None
+        self.on_rejected: Callable[[str], None] = lambda request: None
         self.connections: dict[socket, CallerConnection] = {}
         #: Total size of all bodies in memory, in bytes.
         self.bodies = 0
@@ -542,7 +542,7 @@
                 connection.close()
         self.root.wake()
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting connections and requests; requests in progress continue.
 
         The caller may retry a request that was not completely received elsewhere.
--- a/carawayfold/transport/links.py
+++ b/carawayfold/transport/links.py
@@ -63,7 +63,7 @@
         self.router = ""
         self.cursor = RowCursor()
         self.names = NameTable()
-        self.greeted = False
+        self.hello_received = False
         self.closed = False
 
     @classmethod
--- a/carawayfold/transport/probes.py
+++ b/carawayfold/transport/probes.py
@@ -15,7 +15,7 @@
 PROBE_TIMEOUT = 0.25
 
 
-class Reach(Enum):
+class ProbeResult(Enum):
     """Result of a connection attempt."""
 
     ACCEPTED = "accepted"
@@ -23,7 +23,7 @@
     SILENT = "silent"
 
 
-async def probe(address: Address) -> Reach:
+async def probe(address: Address) -> ProbeResult:
     """Open a connection to an address, close it, and return the result.
 
     `ProbeResult.REFUSED` means that the host responds and no process listens on the
@@ -33,11 +33,11 @@
         async with asyncio.timeout(PROBE_TIMEOUT):
             await _connect(address)
     except (ConnectionRefusedError, ConnectionResetError):
-        return Reach.REFUSED
+        return ProbeResult.REFUSED
     except (TimeoutError, OSError):
         # No route, no response or no free descriptor: the remote state is unknown.
-        return Reach.SILENT
-    return Reach.ACCEPTED
+        return ProbeResult.SILENT
+    return ProbeResult.ACCEPTED
 
 
 async def _connect(address: Address) -> None:
--- a/carawayfold/transport/rpc.py
+++ b/carawayfold/transport/rpc.py
@@ -80,7 +80,7 @@
         return self.outcome_of(request)
 
 
-class OperatorGate:
+class OperatorAuthenticator:
     """Authenticates operators by their tokens.
 
     Parameters
--- a/carawayfold/transport/server.py
+++ b/carawayfold/transport/server.py
@@ -154,9 +154,9 @@
         self.serve(req, res)
         return True
 
-    def watch(self, req: Request, on_gone: Callable[[], None]) -> None:
+    def watch(self, req: Request, on_disconnect: Callable[[], None]) -> None:
         """Call `on_disconnect` if the caller disconnects before the response."""
-        self.disconnect_callbacks[req.sock] = on_gone
+        self.disconnect_callbacks[req.sock] = on_disconnect
 
     def gone(self, sock: socket) -> None:
         """Call the callback for `sock`, whose caller has disconnected."""
--- a/tests/configuration_model.py
+++ b/tests/configuration_model.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from carawayfold.protocol.sources import HistoryLost, Page
+from carawayfold.protocol.sources import Page, RecordsNotRetained
 from carawayfold.state.positions import era_of, offset_of, position
 from tests.knowledge_builders import knowledge, table
 
@@ -51,7 +51,7 @@
     def read(self, start):
         stale = offset_of(start) < self.first or offset_of(start) > len(self.records)
         if era_of(start) != self.era or stale:
-            raise HistoryLost("no longer kept")
+            raise RecordsNotRetained("no longer kept")
         items = [table(version) for version in self.records[offset_of(start) :]]
         return Page(items, self.place())
 
@@ -72,7 +72,7 @@
     def ask(self):
         try:
             page = None if self.next is None else self.store.read(self.next)
-        except HistoryLost:
+        except RecordsNotRetained:
             page = None
         self.in_transit = (page or self.store.newest(), page is None)
 
--- a/tests/coordination/containment/test_crash_reports.py
+++ b/tests/coordination/containment/test_crash_reports.py
@@ -10,7 +10,7 @@
 from carawayfold.coordination.containment.crash_reports import CrashReports, LostAttempt
 from carawayfold.coordination.fleet.membership import Member, Membership
 from carawayfold.state.contents import content_id
-from carawayfold.transport.probes import Reach
+from carawayfold.transport.probes import ProbeResult
 from tests.schedule_builders import endpoint
 from tests.simulated_fleet import simulate
 
@@ -63,30 +63,30 @@
 
 
 def test_an_endpoint_that_refuses_connections_has_ended():
-    reports, lost, probes = probe_endpoint([Reach.REFUSED])
+    reports, lost, probes = probe_endpoint([ProbeResult.REFUSED])
     assert [report.refused for report in reports] == [True]
     assert (lost, probes) == (["e-1"], 1)
 
 
-@pytest.mark.parametrize("first", [Reach.ACCEPTED, Reach.SILENT])
+@pytest.mark.parametrize("first", [ProbeResult.ACCEPTED, ProbeResult.SILENT])
 def test_an_endpoint_whose_socket_closes_later_is_probed_again(first):
-    reports, lost, probes = probe_endpoint([first, Reach.REFUSED])
+    reports, lost, probes = probe_endpoint([first, ProbeResult.REFUSED])
     assert [report.refused for report in reports] == [True]
     assert (lost, probes) == (["e-1"], 2)
 
 
 def test_an_endpoint_that_sends_bytes_again_has_not_ended():
-    reports, lost, _ = probe_endpoint([Reach.ACCEPTED] * 4, byte_after=0.01)
+    reports, lost, _ = probe_endpoint([ProbeResult.ACCEPTED] * 4, byte_after=0.01)
     assert (reports, lost) == ([], [])
 
 
 def test_an_undecided_probe_leaves_the_decision_to_the_registration():
-    reports, lost, _ = probe_endpoint([Reach.ACCEPTED] * 4)
+    reports, lost, _ = probe_endpoint([ProbeResult.ACCEPTED] * 4)
     assert [report.refused for report in reports] == [False]
     assert lost == []
 
 
 def test_one_probe_serves_all_lost_attempts():
-    reports, _, probes = probe_endpoint([Reach.REFUSED], losses=3)
+    reports, _, probes = probe_endpoint([ProbeResult.REFUSED], losses=3)
     assert probes == 1
     assert len(reports) == 3
--- a/tests/coordination/knowledge/test_followers.py
+++ b/tests/coordination/knowledge/test_followers.py
@@ -10,7 +10,12 @@
 from carawayfold.coordination.knowledge import followers
 from carawayfold.coordination.knowledge.followers import Follower
 from carawayfold.coordination.knowledge.knowledge import EndpointSnapshot
-from carawayfold.protocol.sources import HistoryLost, Page, Registered, SourceError
+from carawayfold.protocol.sources import (
+    EndpointChange,
+    Page,
+    RecordsNotRetained,
+    SourceError,
+)
 from tests.knowledge_builders import knowledge, run_in_loop, table
 from tests.schedule_builders import endpoint
 
@@ -34,7 +39,7 @@
             return Page([table(self.listed)], 5)
 
         async def read(self, start, wait):
-            raise HistoryLost("gone")
+            raise RecordsNotRetained("gone")
 
     async def run():
         known, taken = knowledge()
@@ -149,8 +154,8 @@
 
         async def read(self, start, wait):
             calls.append(start)
-            leaves = Registered("a", endpoint("a", leaving=True))
-            return Page([leaves, Registered("a", None)], start + 2)
+            leaves = EndpointChange("a", endpoint("a", leaving=True))
+            return Page([leaves, EndpointChange("a", None)], start + 2)
 
     async def run():
         known, _ = knowledge()
--- a/tests/coordination/knowledge/test_knowledge.py
+++ b/tests/coordination/knowledge/test_knowledge.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from carawayfold.coordination.knowledge.knowledge import EndpointSnapshot
-from carawayfold.protocol.sources import Page, Registered, SourceError
+from carawayfold.protocol.sources import EndpointChange, Page, SourceError
 from carawayfold.state.endpoints import LAPSE_GRACE_DURATION
 from carawayfold.state.positions import position
 from tests.knowledge_builders import knowledge, run_in_loop, table
@@ -23,7 +23,7 @@
 def test_a_peers_endpoints_count_only_if_it_has_read_further():
     async def run():
         known, _ = knowledge()
-        known.apply_listing(Page([Registered("a", endpoint("a"))], 10))
+        known.apply_listing(Page([EndpointChange("a", endpoint("a"))], 10))
         known.merge_snapshot(EndpointSnapshot(9, []), "peer")
         before = list(known.endpoints.entries)
         known.merge_snapshot(EndpointSnapshot(11, [endpoint("b")]), "peer")
@@ -36,10 +36,10 @@
     async def run():
         # Unavailable for all: failures of this router's calls alone expire no lease.
         known, _ = knowledge(age=lambda: 5.0)
-        known.apply_listing(Page([Registered("a", endpoint("a"))], 10))
+        known.apply_listing(Page([EndpointChange("a", endpoint("a"))], 10))
         known.note_failure(SourceError("refused"))
         known.record_answer()
-        known.apply_registrations(Page([Registered("a", None)], 11))
+        known.apply_registrations(Page([EndpointChange("a", None)], 11))
         return list(known.endpoints.entries)
 
     assert run_in_loop(run) == ["a"]
@@ -52,7 +52,7 @@
     the endpoint is considered usable until the next read.
     """
     known, _ = knowledge()
-    known.apply_listing(Page([Registered("a", endpoint("a"))], 8))
+    known.apply_listing(Page([EndpointChange("a", endpoint("a"))], 8))
     known.merge_snapshot(EndpointSnapshot(11, [endpoint("a", leaving=True)]), "peer")
     return known
 
@@ -60,7 +60,7 @@
 def test_a_record_that_is_older_than_what_a_peer_told_changes_nothing():
     async def run():
         known = informed_by_peer_that_a_leaves()
-        known.apply_registrations(Page([Registered("a", endpoint("a"))], 9))
+        known.apply_registrations(Page([EndpointChange("a", endpoint("a"))], 9))
         return known.endpoints.usable("model")
 
     assert run_in_loop(run) == []
@@ -69,14 +69,14 @@
 def test_a_list_that_is_older_than_what_a_peer_told_changes_nothing():
     async def run():
         known = informed_by_peer_that_a_leaves()
-        known.apply_listing(Page([Registered("a", endpoint("a"))], 10))
+        known.apply_listing(Page([EndpointChange("a", endpoint("a"))], 10))
         return known.endpoints.usable("model")
 
     assert run_in_loop(run) == []
 
 
 def listed(era, offset, *endpoints):
-    items = [Registered(item.name, item) for item in endpoints]
+    items = [EndpointChange(item.name, item) for item in endpoints]
     return Page(items, position(era, offset))
 
 
@@ -117,13 +117,13 @@
         known, _ = knowledge()
         both = [endpoint("a"), endpoint("b")]
         known.apply_listing(listed(0, 50, *both))
-        known.apply_registrations(Page([Registered("b", None)], position(0, 51)))
+        known.apply_registrations(Page([EndpointChange("b", None)], position(0, 51)))
         known.apply_listing(listed(1, 20, *both))
         after_copy = sorted(known.endpoints.entries)
         told = EndpointSnapshot(position(1, 21), both)
         known.merge_snapshot(told, "peer")
         after_peer = sorted(known.endpoints.entries)
-        written = Page([Registered("b", endpoint("b"))], position(1, 22))
+        written = Page([EndpointChange("b", endpoint("b"))], position(1, 22))
         known.apply_registrations(written)
         return after_copy, after_peer, sorted(known.endpoints.entries)
 
@@ -143,7 +143,7 @@
         peer, _ = knowledge(age=lambda: 10.0)
         peer.apply_listing(listed(0, 50, endpoint("a"), endpoint("b")))
         peer.note_failure(SourceError("refused"))
-        peer.apply_registrations(Page([Registered("b", None)], position(0, 51)))
+        peer.apply_registrations(Page([EndpointChange("b", None)], position(0, 51)))
         known, _ = knowledge()
         known.merge_snapshot(peer.snapshot(), "peer")
         told = sorted(known.endpoints.entries)
@@ -161,7 +161,7 @@
         known.apply_listing(listed(0, 50, endpoint("a"), endpoint("b")))
         known.note_failure(SourceError("refused"))
         known.record_answer()
-        known.apply_registrations(Page([Registered("b", None)], position(0, 51)))
+        known.apply_registrations(Page([EndpointChange("b", None)], position(0, 51)))
         return sorted(known.endpoints.entries)
 
     assert run_in_loop(run) == ["a", "b"]
@@ -175,7 +175,7 @@
         known.apply_listing(listed(0, 50, endpoint("a"), endpoint("b")))
         known.note_failure(SourceError("the connection was reset"))
         known.record_answer()
-        known.apply_registrations(Page([Registered("b", None)], position(0, 51)))
+        known.apply_registrations(Page([EndpointChange("b", None)], position(0, 51)))
         return list(known.endpoints.entries)
 
     assert run_in_loop(run) == ["a"]
@@ -187,7 +187,7 @@
         now = first.loop.time()
         warming = endpoint("a", warm_up=3.0, warm_at=now + 2.0)
         warm = endpoint("b")
-        items = [Registered(item.name, item) for item in (warming, warm)]
+        items = [EndpointChange(item.name, item) for item in (warming, warm)]
         first.apply_listing(Page(items, 10))
         second, _ = knowledge()
         second.merge_snapshot(first.snapshot(), "peer")
@@ -204,10 +204,10 @@
         known, _ = knowledge()
         for warm_at in (5.0, 9.0):
             item = endpoint("a", warm_up=3.0, warm_at=warm_at)
-            known.apply_listing(Page([Registered("a", item)], 10))
+            known.apply_listing(Page([EndpointChange("a", item)], 10))
         listed = known.endpoints.entries["a"].warm_at
         again = endpoint("a", warm_up=3.0, warm_at=20.0)
-        known.apply_registrations(Page([Registered("a", again)], 11))
+        known.apply_registrations(Page([EndpointChange("a", again)], 11))
         return listed, known.endpoints.entries["a"].warm_at
 
     assert run_in_loop(run) == (5.0, 20.0)
--- a/tests/knowledge_model.py
+++ b/tests/knowledge_model.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from carawayfold.protocol.sources import HistoryLost, Page, Registered
+from carawayfold.protocol.sources import EndpointChange, Page, RecordsNotRetained
 from carawayfold.state.positions import era_of, offset_of, position
 from tests.knowledge_builders import knowledge
 from tests.schedule_builders import endpoint
@@ -19,9 +19,9 @@
 NAME = "e-1"
 #: Records of the endpoint: registered, leaving, removed.
 RECORDS = [
-    Registered(NAME, endpoint(NAME)),
-    Registered(NAME, endpoint(NAME, leaving=True)),
-    Registered(NAME, None),
+    EndpointChange(NAME, endpoint(NAME)),
+    EndpointChange(NAME, endpoint(NAME, leaving=True)),
+    EndpointChange(NAME, None),
 ]
 
 
@@ -60,7 +60,7 @@
 
     def read(self, start):
         if era_of(start) != self.era or offset_of(start) > len(self.records):
-            raise HistoryLost("the store was restored from a backup")
+            raise RecordsNotRetained("the store was restored from a backup")
         read = self.records[offset_of(start) :]
         return Page(read, position(self.era, len(self.records)))
 
@@ -80,7 +80,7 @@
         try:
             page = self.store.read(place)
             self.in_transit = lambda: self.known.apply_registrations(page)
-        except HistoryLost:
+        except RecordsNotRetained:
             page = self.store.newest()
             self.in_transit = lambda: self.known.apply_listing(page)
         self.asked_at = page.next, len(page.items)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -9,7 +9,7 @@
 import pytest
 
 from carawayfold.platform.store import StoreClient
-from carawayfold.protocol.sources import HistoryLost, SourceError
+from carawayfold.protocol.sources import RecordsNotRetained, SourceError
 from carawayfold.state.positions import position
 from carawayfold.transport.client import Answer, Head
 
@@ -52,7 +52,7 @@
 
 def test_read_in_another_era_raises_history_lost():
     client = StoreClient(FakeHttp(("2", RECORDS)), None)
-    with pytest.raises(HistoryLost):
+    with pytest.raises(RecordsNotRetained):
         asyncio.run(client.read("t", position(1, 7), 0.5))
 
 
@@ -60,7 +60,7 @@
     entry = {"key": "k", "value": "", "offset": 1}
     first = page(7, entries=[entry], more_pages=True)
     client = StoreClient(FakeHttp(("1", first), ("2", page(5))), None)
-    with pytest.raises(HistoryLost):
+    with pytest.raises(RecordsNotRetained):
         asyncio.run(client.newest("t"))
 
 
--- a/tests/simulated_configurations.py
+++ b/tests/simulated_configurations.py
@@ -17,7 +17,7 @@
 
 import logbook
 
-from carawayfold.protocol.sources import Registered
+from carawayfold.protocol.sources import EndpointChange
 from tests.simulated_fleet import STRONG, WEAK, simulate, started
 from tests.simulated_registrations import SETTLED, SimulatedNews
 from tests.simulated_store import Access
@@ -158,7 +158,7 @@
     elif word is Word.LEAVES:
         world.register("e-0", leaving=True)
     else:
-        world.store.write(Registered("e-0", None))
+        world.store.write(EndpointChange("e-0", None))
 
 
 def obeys(router, word):
--- a/tests/simulated_crashes.py
+++ b/tests/simulated_crashes.py
@@ -23,7 +23,7 @@
 from carawayfold.state.contents import content_id
 from carawayfold.state.crashes import MIN_QUARANTINE_WEIGHT
 from carawayfold.state.endpoints import Endpoint
-from carawayfold.transport.probes import Reach
+from carawayfold.transport.probes import ProbeResult
 from tests.simulated_fleet import simulate, started
 
 #: Seconds for a connection that is refused or taken, and for one that hangs.
@@ -79,11 +79,11 @@
         self.down = False
         self.calls = 0
 
-    async def keep_verdict(self, record):
+    async def store_verdict(self, record):
         self._call()
         self.kept[record.content] = record
 
-    async def drop_verdict(self, content):
+    async def delete_verdict(self, content):
         self._call()
         self.kept.pop(content, None)
 
@@ -184,9 +184,9 @@
         parted = {self.fleet.places[router], engine.endpoint.data_centre}
         if len(parted) > 1 and parted & self.fleet.apart:
             await asyncio.sleep(HANGING_TIME)
-            return Reach.SILENT
+            return ProbeResult.SILENT
         await asyncio.sleep(PROBE_TIME)
-        return Reach.REFUSED if engine.ended else Reach.ACCEPTED
+        return ProbeResult.REFUSED if engine.ended else ProbeResult.ACCEPTED
 
     # Endpoints
 
--- a/tests/simulated_notices.py
+++ b/tests/simulated_notices.py
@@ -15,7 +15,7 @@
 
 from carawayfold.coordination.knowledge.knowledge import Knowledge
 from carawayfold.coordination.knowledge.notices import EndpointNotices
-from carawayfold.protocol.exchanges import Answered
+from carawayfold.protocol.exchanges import ResponseFields
 from carawayfold.state.rests import EndpointBackoffs
 from tests.schedule_builders import endpoint
 from tests.simulated_fleet import simulate, started
@@ -26,7 +26,7 @@
 LOOK_INTERVAL = 0.01
 #: Seconds after which a router that still does not know is not waited for.
 PATIENCE = 6.0
-SAYS_LEAVING = Answered(200, False, False, True, None, [], leaving=True)
+SAYS_LEAVING = ResponseFields(200, False, False, True, None, [], leaving=True)
 
 
 @dataclass(frozen=True)
--- a/tests/simulated_registrations.py
+++ b/tests/simulated_registrations.py
@@ -21,7 +21,7 @@
 from carawayfold.coordination.knowledge.anti_entropy import AntiEntropy
 from carawayfold.coordination.knowledge.knowledge import Knowledge
 from carawayfold.protocol.datagrams import Heartbeat
-from carawayfold.protocol.sources import Registered
+from carawayfold.protocol.sources import EndpointChange
 from carawayfold.transport.client import Answer, ExchangeError, Head, Phase
 from tests.schedule_builders import endpoint
 from tests.simulated_fleet import DELAY, simulate, started
@@ -170,7 +170,7 @@
         return made
 
     def register(self, name, **other):
-        self.store.write(Registered(name, endpoint(name, "desk", **other)))
+        self.store.write(EndpointChange(name, endpoint(name, "desk", **other)))
 
     def in_touch(self):
         """Return the routers that run, hear the others and reach the store."""
@@ -212,7 +212,7 @@
 
     async def vanish(self, name):
         """Let an endpoint go without a word; return after how long each router knew."""
-        self.store.write(Registered(name, None))
+        self.store.write(EndpointChange(name, None))
         return await self.watch(name)
 
     async def watch(self, name, watched=None):
--- a/tests/simulated_store.py
+++ b/tests/simulated_store.py
@@ -9,12 +9,12 @@
 
 from carawayfold.platform import store as platform_store
 from carawayfold.protocol.sources import (
+    EndpointChange,
     Evacuation,
-    HistoryLost,
-    NoAnswer,
     Page,
-    Registered,
+    RecordsNotRetained,
     SourceError,
+    SourceTimeout,
 )
 from carawayfold.state.positions import era_of, offset_of, position
 from carawayfold.state.routes import CallerLimits, RouteTable
@@ -53,7 +53,7 @@
 
     access: dict[str, Access] = field(default_factory=dict)
     operators_access: dict[str, Access] = field(default_factory=dict)
-    records: list[Registered] = field(default_factory=list)
+    records: list[EndpointChange] = field(default_factory=list)
     tables: list[RouteTable] = field(default_factory=list)
     calls: Counter = field(default_factory=Counter)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -110,7 +110,7 @@
         access = self.access_of(router, records)
         if access is Access.SWALLOWED:
             await asyncio.sleep(patience)
-            raise NoAnswer("no answer in time")
+            raise SourceTimeout("no answer in time")
         await asyncio.sleep(SLOW_DELAY if access is Access.SLOW else STORE_DELAY)
         if access is Access.REFUSED:
             raise SourceError("status 503")
@@ -148,7 +148,7 @@
         if opened > self._silenced():
             try:
                 answer = await work
-            except NoAnswer:
+            except SourceTimeout:
                 self._lose()
                 raise
             if opened > self._silenced():
@@ -158,7 +158,7 @@
             work.close()
         await asyncio.sleep(begun + patience - loop.time())
         self._lose()
-        raise NoAnswer("no answer in time")
+        raise SourceTimeout("no answer in time")
 
     def _silenced(self):
         return self.store.silenced.get(self.router, float("-inf"))
@@ -183,7 +183,7 @@
                 break
         await self._stay_cut(end)
         if era_of(start) != self.store.era or offset_of(start) > len(self.records):
-            raise HistoryLost("the store came back from a copy")
+            raise RecordsNotRetained("the store came back from a copy")
         read = self.records[offset_of(start) :]
         return Page(read, self.store.place(self.records))
 
@@ -192,6 +192,6 @@
         access = self._access()
         if access is Access.SWALLOWED:
             await asyncio.sleep(end - asyncio.get_running_loop().time())
-            raise NoAnswer("no answer in time")
+            raise SourceTimeout("no answer in time")
         if access is Access.REFUSED:
             raise SourceError("the connection was reset")
--- a/tests/transport/test_edge.py
+++ b/tests/transport/test_edge.py
@@ -29,7 +29,7 @@
         address = Address("127.0.0.1", 0)
         edge = Edge(address, serve, id_header="request-id").register(root)
         edge.refuses = lambda: refuses
-        edge.on_shed = shed.append
+        edge.on_rejected = shed.append
         root.attach()
         port = edge.server.port
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
