--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -165,7 +165,7 @@
             incoming.body,
             self._on_head,
             self._on_data,
-            is_own_response=lambda head: self.forwarder.dialect.answers(
+            is_own_response=lambda head: self.forwarder.dialect.matches_request(
                 call.parsed, head
             ),
             **options,
--- a/carawayfold/coordination/scheduling/caches.py
+++ b/carawayfold/coordination/scheduling/caches.py
@@ -90,7 +90,7 @@
 
     async def _query(self, pool: PoolState, endpoint: Endpoint) -> None:
         try:
-            cached = await self.source.kept(endpoint)
+            cached = await self.source.cached_parts(endpoint)
         except SourceError as error:
             extra = {"endpoint": endpoint.id, "reason": str(error)}
             logger.info("cache not listed", extra=extra)
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -99,11 +99,11 @@
         self,
         settings: GatewaySettings,
         load_settings: Callable[[], Result[GatewaySettings, list[str]]],
-        log_lines_left_out: Callable[[], int],
+        dropped_log_lines: Callable[[], int],
     ) -> None:
         self.settings = settings
         self.load_settings = load_settings
-        self.log_lines_left_out = log_lines_left_out
+        self.dropped_log_lines = dropped_log_lines
         loop = asyncio.get_running_loop()
         self.root = Root()
         self.http = HttpClient(self.root).register(self.root)
@@ -459,12 +459,12 @@
 async def run(
     settings: GatewaySettings,
     load_settings: Callable[[], Result[GatewaySettings, list[str]]],
-    log_lines_left_out: Callable[[], int],
+    dropped_log_lines: Callable[[], int],
 ) -> None:
     """Run one forwarding router until it is stopped.
 
     The parameters are those of `Gateway`.
     """
-    gateway = Gateway(settings, load_settings, log_lines_left_out)
+    gateway = Gateway(settings, load_settings, dropped_log_lines)
     with contextlib.suppress(asyncio.CancelledError):
         await gateway.run()
--- a/carawayfold/platform/engines.py
+++ b/carawayfold/platform/engines.py
@@ -52,7 +52,7 @@
     def __init__(self, http: HttpClient) -> None:
         self.http = http
 
-    async def kept(self, endpoint: Endpoint) -> list[Part]:
+    async def cached_parts(self, endpoint: Endpoint) -> list[Part]:
         """Return the prompt parts that an engine has cached.
 
         Raises
--- a/carawayfold/platform/headers.py
+++ b/carawayfold/platform/headers.py
@@ -140,7 +140,7 @@
             headers.append((COPY_FROM, str(copy_source.address)))
         return headers
 
-    def answers(self, asked: RequestFields, head: Head) -> bool:
+    def matches_request(self, asked: RequestFields, head: Head) -> bool:
         """Return whether a response head has the id of the request, or none."""
         return head.headers.get(REQUEST_ID, asked.id) == asked.id
 
--- a/carawayfold/protocol/exchanges.py
+++ b/carawayfold/protocol/exchanges.py
@@ -116,7 +116,7 @@
         `time_left` is in seconds.
         """
 
-    def answers(self, asked: RequestFields, head: Head) -> bool:
+    def matches_request(self, asked: RequestFields, head: Head) -> bool:
         """Return whether the head of a response belongs to the request."""
 
     def read_answer(self, head: Head) -> ResponseFields:
--- a/carawayfold/protocol/forward_exposition.py
+++ b/carawayfold/protocol/forward_exposition.py
@@ -121,7 +121,7 @@
             "repeats_extra": budget.extra_share(gateway.fleet.known_size, now),
             "quarantined": len(quarantine.held(now)),
             "suspected": len(quarantine.suspected(now)),
-            "left_out_log_lines": gateway.log_lines_left_out(),
+            "left_out_log_lines": gateway.dropped_log_lines(),
         }
         for name, value in gauges.items():
             yield GaugeMetricFamily(f"carawayfold_{name}", name, value)
--- a/carawayfold/protocol/sources.py
+++ b/carawayfold/protocol/sources.py
@@ -141,7 +141,7 @@
 class CacheReporter(Protocol):
     """Reports the contents of the prompt caches of model engines."""
 
-    async def kept(self, endpoint: Endpoint) -> list[Part]:
+    async def cached_parts(self, endpoint: Endpoint) -> list[Part]:
         """Return the prompt parts cached by an engine.
 
         Raises
--- a/tests/coordination/scheduling/test_caches.py
+++ b/tests/coordination/scheduling/test_caches.py
@@ -24,7 +24,7 @@
         self.keeper = keeper
         self.asked = []
 
-    async def kept(self, endpoint):
+    async def cached_parts(self, endpoint):
         self.asked.append(endpoint.id)
         if self.keeper is None:
             raise SourceError("silent")
--- a/tests/simulated_store.py
+++ b/tests/simulated_store.py
@@ -136,7 +136,7 @@
         return Page(self.newest_of(), self.store.place(self.records))
 
     async def read(self, start, wait):
-        patience = wait + platform_store.READ_GRACE
+        patience = wait + platform_store.READ_TIMEOUT_MARGIN
         return await self._on_connection(self._read(start, wait, patience), patience)
 
     async def _on_connection(self, work, patience):
