--- a/benchmarks/capacity/inside.py
+++ b/benchmarks/capacity/inside.py
@@ -26,11 +26,11 @@
     Snapshot,
     record_encoder,
 )
+from carawayfold.state.configuration_view import ConfigView, hash_key
 from carawayfold.state.ids import EndpointId, OrganisationId, PoolId, RouterId
 from carawayfold.state.ledger import ServiceLedger
 from carawayfold.state.metrics import Metrics
 from carawayfold.state.service_rows import LocalRows, RowCursor
-from carawayfold.state.view import ConfigView, hash_key
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -143,7 +143,7 @@
 
 def row_slopes() -> list[Slope]:
     """Measure the frames and the memory of service rows."""
-    from carawayfold.coordination.slots.service_book import ServiceAccounts
+    from carawayfold.coordination.slots.service_accounts import ServiceAccounts
 
     first, later, memory, heard, tidy = [], [], [], [], []
     for count in ORGANISATIONS:
--- a/benchmarks/emulation/ablation.py
+++ b/benchmarks/emulation/ablation.py
@@ -16,7 +16,7 @@
 from benchmarks.emulation.__main__ import net_of, play
 from benchmarks.emulation.deployments import DEPLOYMENTS
 from benchmarks.emulation.run import Policy
-from carawayfold.coordination.scheduling import donors, placement, scheduler
+from carawayfold.coordination.scheduling import copy_sources, placement, scheduler
 from carawayfold.state import usage
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
 
 
 MECHANISMS = (
-    Mechanism("copies between engines", donors, "LEAST_FETCHED", float("inf")),
+    Mechanism("copies between engines", copy_sources, "LEAST_FETCHED", float("inf")),
     Mechanism("kept prefixes go first", placement, "REREAD_WEIGHT", 0.0),
     Mechanism("late choices are avoided", placement, "LATE_PENALTY", 0.0),
     Mechanism("prompts wait here", placement, "READ_AHEAD", 1.0),
--- a/benchmarks/emulation/engine.py
+++ b/benchmarks/emulation/engine.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from carawayfold.protocol.exchanges import Part
-from carawayfold.state.prefixes import PrefixCache
+from carawayfold.state.prefix_cache import PrefixCache
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,7 @@
     Organisation,
     Service,
 )
-from carawayfold.state.view import hash_key
+from carawayfold.state.configuration_view import hash_key
 
 if TYPE_CHECKING:
     from benchmarks.deployments import Deployment
--- a/carawayfold/application.py
+++ b/carawayfold/application.py
@@ -50,10 +50,10 @@
     list_instances,
 )
 from carawayfold.settings import Address
+from carawayfold.state.configuration_view import ConfigView
 from carawayfold.state.ids import DataCentreId, RouterId
 from carawayfold.state.metrics import Metrics
 from carawayfold.state.service_rows import LocalRows
-from carawayfold.state.view import ConfigView
 from carawayfold.transport.client import HttpClient
 from carawayfold.transport.links import CHANNEL_OPTIONS, Links
 from carawayfold.transport.loop import Root
--- a/carawayfold/commands/operate.py
+++ b/carawayfold/commands/operate.py
@@ -12,7 +12,7 @@
 
 import typer
 
-from carawayfold.state.view import hash_key
+from carawayfold.state.configuration_view import hash_key
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
--- a/carawayfold/coordination/containment/containment.py
+++ b/carawayfold/coordination/containment/containment.py
@@ -44,7 +44,7 @@
     Level,
     Quarantine,
 )
-from carawayfold.state.well_runs import SUCCESS_EVIDENCE_DURATION, SuccessfulRuns
+from carawayfold.state.successful_runs import SUCCESS_EVIDENCE_DURATION, SuccessfulRuns
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Coroutine, Iterable
--- a/carawayfold/coordination/fleet/fleet.py
+++ b/carawayfold/coordination/fleet/fleet.py
@@ -10,6 +10,8 @@
 import logbook
 import msgspec
 
+from carawayfold.coordination.fleet.heartbeat_recipients import HeartbeatRecipients
+from carawayfold.coordination.fleet.hub_lists import HubLists
 from carawayfold.coordination.fleet.hubs import (
     LEAF_HEARTBEAT_INTERVAL,
     MAX_MESH_ROUTERS,
@@ -20,14 +22,12 @@
     primary_hub,
     role_of_hub,
 )
-from carawayfold.coordination.fleet.listeners import HeartbeatRecipients
 from carawayfold.coordination.fleet.membership import (
     Member,
     Membership,
     PeerState,
     assign_leaders,
 )
-from carawayfold.coordination.fleet.rosters import HubLists
 from carawayfold.coordination.fleet.suspects import Suspects
 from carawayfold.protocol.datagrams import Heartbeat, HubListMessage
 from carawayfold.protocol.sources import PeerEntry
--- a/carawayfold/coordination/knowledge/notices.py
+++ b/carawayfold/coordination/knowledge/endpoint_notices.py
@@ -26,8 +26,8 @@
     from carawayfold.coordination.knowledge.knowledge import Knowledge
     from carawayfold.protocol.datagrams import Datagram, Message
     from carawayfold.protocol.exchanges import ResponseFields
+    from carawayfold.state.endpoint_backoffs import EndpointBackoffs
     from carawayfold.state.endpoints import Endpoint
-    from carawayfold.state.rests import EndpointBackoffs
 
 logger = logbook.Logger(__name__)
 
--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from carawayfold.coordination.requests.repeats import AttemptEnd
+from carawayfold.coordination.requests.retries import AttemptEnd
 from carawayfold.protocol.events import NumberedEvents
 from carawayfold.state.routes import RouteKind
 from carawayfold.transport.client import ExchangeError, Phase
--- a/carawayfold/coordination/requests/calls.py
+++ b/carawayfold/coordination/requests/calls.py
@@ -35,9 +35,9 @@
     from carawayfold.settings import Settings
     from carawayfold.state.configuration import Endpoint as ConfiguredEndpoint
     from carawayfold.state.configuration import Service
+    from carawayfold.state.configuration_view import ConfigView
     from carawayfold.state.ids import ContentId, EndpointId, OrganisationId
     from carawayfold.state.metrics import Metrics
-    from carawayfold.state.view import ConfigView
     from carawayfold.transport.client import HttpClient
     from carawayfold.transport.server import EdgeServer
 
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -10,7 +10,7 @@
 
 from carawayfold.coordination.containment.crash_reports import LostAttempt
 from carawayfold.coordination.requests.attempts import Attempt, AttemptRequest
-from carawayfold.coordination.requests.repeats import (
+from carawayfold.coordination.requests.retries import (
     AttemptEnd,
     AttemptHistory,
     final_refusal,
@@ -26,17 +26,17 @@
 from carawayfold.errors import ErrorKind, Ran, Refusal
 from carawayfold.protocol import problem
 from carawayfold.state.contents import content_id
-from carawayfold.state.patience import WaitEstimator
 from carawayfold.state.positions import offset_of
 from carawayfold.state.residency import allowed_data_centres
 from carawayfold.state.routes import ANONYMOUS
+from carawayfold.state.wait_estimator import WaitEstimator
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
     from carawayfold.coordination.containment.containment import Containment
     from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
-    from carawayfold.coordination.knowledge.notices import EndpointNotices
+    from carawayfold.coordination.knowledge.endpoint_notices import EndpointNotices
     from carawayfold.coordination.scheduling.coordinator import SchedulingCoordinator
     from carawayfold.coordination.scheduling.offers import Basis
     from carawayfold.protocol.exchanges import Dialect, RequestFields, ResponseFields
--- a/carawayfold/coordination/scheduling/desk.py
+++ b/carawayfold/coordination/scheduling/coordinator.py
@@ -19,14 +19,9 @@
 import logbook
 import msgspec
 
+from carawayfold.coordination.scheduling.admission import AdmissionControl
 from carawayfold.coordination.scheduling.decision_statistics import SchedulingStatistics
-from carawayfold.coordination.scheduling.division import (
-    PoolAssignment,
-    choose_fallback_pool,
-    choose_pool,
-)
 from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
-from carawayfold.coordination.scheduling.held_back import AdmissionControl
 from carawayfold.coordination.scheduling.messages import (
     decision_message,
     grant_from_message,
@@ -43,16 +38,21 @@
     Outcome,
     Rejected,
 )
+from carawayfold.coordination.scheduling.pending import (
+    PendingRequest,
+    PlacedRequest,
+    PoolState,
+)
+from carawayfold.coordination.scheduling.pool_assignment import (
+    PoolAssignment,
+    choose_fallback_pool,
+    choose_pool,
+)
 from carawayfold.coordination.scheduling.scheduler import (
     DEFAULT_PREFILL_RATE,
     PoolPlan,
     Scheduler,
 )
-from carawayfold.coordination.scheduling.tickets import (
-    PendingRequest,
-    PlacedRequest,
-    PoolState,
-)
 from carawayfold.protocol.datagrams import (
     ActiveRequestReport,
     ActiveRequestsMessage,
@@ -65,6 +65,7 @@
     WithdrawMessage,
 )
 from carawayfold.protocol.exchanges import Part
+from carawayfold.state.endpoint_backoffs import EndpointBackoffs
 from carawayfold.state.ids import (
     CallId,
     EndpointId,
@@ -73,7 +74,6 @@
     RouterId,
     ServiceId,
 )
-from carawayfold.state.rests import EndpointBackoffs
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
--- a/carawayfold/coordination/scheduling/endpoint_load.py
+++ b/carawayfold/coordination/scheduling/endpoint_load.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from carawayfold.state.first_tokens import FirstTokenModel
-from carawayfold.state.prefixes import PrefixCache
+from carawayfold.state.prefix_cache import PrefixCache
 
 if TYPE_CHECKING:
     from carawayfold.protocol.exchanges import Part
--- a/carawayfold/coordination/scheduling/placement.py
+++ b/carawayfold/coordination/scheduling/placement.py
@@ -17,7 +17,7 @@
     from collections.abc import Iterable
 
     from carawayfold.coordination.scheduling.backlog import Backlog
-    from carawayfold.coordination.scheduling.donors import CopySource
+    from carawayfold.coordination.scheduling.copy_sources import CopySource
     from carawayfold.coordination.scheduling.offers import Offer
 
 #: Seconds of prefill that may be queued in an engine. Less leaves the engine idle
--- a/carawayfold/coordination/scheduling/scheduler.py
+++ b/carawayfold/coordination/scheduling/scheduler.py
@@ -25,7 +25,7 @@
 import xxhash
 
 from carawayfold.coordination.scheduling.backlog import Backlog
-from carawayfold.coordination.scheduling.donors import (
+from carawayfold.coordination.scheduling.copy_sources import (
     MIN_COPIED_TOKENS,
     find_copy_source,
 )
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -13,7 +13,7 @@
 from carawayfold.coordination.slots.link_fleet import take_messages
 from carawayfold.coordination.slots.pool import PoolGranter
 from carawayfold.coordination.slots.reporting import Reporter
-from carawayfold.coordination.slots.service_book import ServiceAccounts
+from carawayfold.coordination.slots.service_accounts import ServiceAccounts
 from carawayfold.protocol import peer_pb2
 from carawayfold.state.ids import (
     DataCentreId,
--- a/carawayfold/coordination/slots/loads.py
+++ b/carawayfold/coordination/slots/loads.py
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from carawayfold.coordination.slots.exchange import Exchange
     from carawayfold.coordination.slots.pool import PoolGranter
+    from carawayfold.state.configuration_view import ConfigView
     from carawayfold.state.ids import EndpointId
-    from carawayfold.state.view import ConfigView
     from carawayfold.transport.client import HttpClient
 
 #: Seconds between two load queries of an endpoint.
--- a/carawayfold/coordination/slots/pool.py
+++ b/carawayfold/coordination/slots/pool.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from carawayfold.state.ids import EndpointId, OrganisationId, PoolId, RouterId
-from carawayfold.state.order import RankHeap
+from carawayfold.state.rank_heap import RankHeap
 
 if TYPE_CHECKING:
     from carawayfold.protocol import peer_pb2
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -19,8 +19,8 @@
 from carawayfold.coordination.fleet.readers import can_relay_updates
 from carawayfold.coordination.knowledge import anti_entropy, followers
 from carawayfold.coordination.knowledge.anti_entropy import AntiEntropy
+from carawayfold.coordination.knowledge.endpoint_notices import EndpointNotices
 from carawayfold.coordination.knowledge.knowledge import Knowledge
-from carawayfold.coordination.knowledge.notices import EndpointNotices
 from carawayfold.coordination.requests.forwarding import Forwarder
 from carawayfold.coordination.requests.shedding import ShedLog
 from carawayfold.coordination.scheduling.caches import CacheReader
@@ -40,7 +40,7 @@
 from carawayfold.state.budget import RetryBudget
 from carawayfold.state.forwarded import ForwardMetrics
 from carawayfold.state.ids import ContentId
-from carawayfold.state.pressure import OverloadDetector
+from carawayfold.state.overload import OverloadDetector
 from carawayfold.state.routes import RouteIndex
 from carawayfold.transport.client import HttpClient
 from carawayfold.transport.datagrams import PeerSocket
--- a/carawayfold/state/crashes.py
+++ b/carawayfold/state/crashes.py
@@ -14,7 +14,7 @@
 
 from carawayfold.state.ids import ContentId, EndpointId, OrganisationId, RouterId
 from carawayfold.state.quarantine import Level
-from carawayfold.state.well_runs import SUCCESS_EVIDENCE_DURATION
+from carawayfold.state.successful_runs import SUCCESS_EVIDENCE_DURATION
 
 if TYPE_CHECKING:
     from carawayfold.state.endpoints import Endpoint
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -19,10 +19,10 @@
     Service,
     Snapshot,
 )
+from carawayfold.state.configuration_view import ConfigView
 from carawayfold.state.ids import EndpointId, OrganisationId, PoolId, RouterId
 from carawayfold.state.ledger import ServiceLedger
 from carawayfold.state.queue import Waiter
-from carawayfold.state.view import ConfigView
 
 #: A deployment small enough for a test.
 SMALL = Deployment(
--- a/tests/coordination/requests/test_attempts.py
+++ b/tests/coordination/requests/test_attempts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from carawayfold.coordination.requests.attempts import Attempt, AttemptRequest
-from carawayfold.coordination.requests.repeats import AttemptEnd
+from carawayfold.coordination.requests.retries import AttemptEnd
 from carawayfold.coordination.scheduling.offers import BlockReason
 from carawayfold.state.routes import RouteKind
 from carawayfold.transport.client import ExchangeError, Phase
--- a/tests/coordination/requests/test_repeats.py
+++ b/tests/coordination/requests/test_retries.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from carawayfold.coordination.requests.repeats import (
+from carawayfold.coordination.requests.retries import (
     AttemptEnd,
     AttemptHistory,
     final_refusal,
--- a/tests/coordination/scheduling/test_account.py
+++ b/tests/coordination/scheduling/test_account.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from carawayfold.coordination.scheduling.held_back import AdmissionControl
+from carawayfold.coordination.scheduling.admission import AdmissionControl
 from carawayfold.coordination.scheduling.offers import Granted, Outcome
 from tests.schedule_builders import offer, scheduler
 
--- a/tests/coordination/scheduling/test_held_back.py
+++ b/tests/coordination/scheduling/test_admission.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from carawayfold.coordination.scheduling.held_back import (
+from carawayfold.coordination.scheduling.admission import (
     ADMISSION_DURATION,
     AdmissionControl,
 )
--- a/tests/coordination/scheduling/test_desk.py
+++ b/tests/coordination/scheduling/test_coordinator.py
@@ -9,16 +9,15 @@
 
 import logbook
 import pytest
+from msgspec import structs
+
+from carawayfold.coordination.fleet.membership import Member, Membership
+from carawayfold.coordination.fleet.suspects import Suspects
 from carawayfold.coordination.scheduling.coordinator import (
     ACTIVE_REPORT_INTERVAL,
     OFFER_RETRY_INTERVALS,
     SchedulingCoordinator,
 )
-from msgspec import structs
-
-from carawayfold.coordination.fleet.membership import Member, Membership
-from carawayfold.coordination.fleet.suspects import Suspects
-from carawayfold.coordination.scheduling.division import MAX_POOL_SIZE
 from carawayfold.coordination.scheduling.endpoint_load import ActiveRequest
 from carawayfold.coordination.scheduling.offers import (
     UNKNOWN_POOL,
@@ -28,8 +27,9 @@
     Outcome,
     Rejected,
 )
+from carawayfold.coordination.scheduling.pending import TAKEOVER_DELAY, PoolState
+from carawayfold.coordination.scheduling.pool_assignment import MAX_POOL_SIZE
 from carawayfold.coordination.scheduling.scheduler import Scheduler
-from carawayfold.coordination.scheduling.tickets import TAKEOVER_DELAY, PoolState
 from carawayfold.protocol.datagrams import Datagram, GrantMessage, decode, encode
 from carawayfold.protocol.exchanges import Part
 from carawayfold.state.endpoints import EndpointTable
--- a/tests/coordination/scheduling/test_donors.py
+++ b/tests/coordination/scheduling/test_copy_sources.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from carawayfold.coordination.scheduling.donors import (
+from carawayfold.coordination.scheduling.copy_sources import (
     MIN_COPIED_TOKENS,
     find_copy_source,
 )
--- a/tests/coordination/scheduling/test_tallies.py
+++ b/tests/coordination/scheduling/test_decision_statistics.py
@@ -6,8 +6,8 @@
 
 import logbook
 
-from carawayfold.coordination.scheduling import tallies
-from carawayfold.coordination.scheduling.tallies import SchedulingStatistics
+from carawayfold.coordination.scheduling import decision_statistics
+from carawayfold.coordination.scheduling.decision_statistics import SchedulingStatistics
 from carawayfold.state.usage import UsageTable
 
 
@@ -17,7 +17,7 @@
         statistics = made.of("model/0")
         statistics.offers, statistics.repeated = 3, 2
         account = UsageTable(4.0)
-        for number in range(tallies.MAX_NAMED_ORGANISATIONS + 1):
+        for number in range(decision_statistics.MAX_NAMED_ORGANISATIONS + 1):
             account.asked(f"o-{number}", 0.0, 100 * number)
         account.granted("o-2", 0.0, 50)
         made.write({"model/0": account}, {"model/0"})
--- a/tests/coordination/scheduling/test_division.py
+++ b/tests/coordination/scheduling/test_pool_assignment.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from carawayfold.coordination.scheduling import division as division_module
-from carawayfold.coordination.scheduling.division import (
+from carawayfold.coordination.scheduling import pool_assignment as division_module
+from carawayfold.coordination.scheduling.pool_assignment import (
     MAX_POOL_SIZE,
     PoolAssignment,
     choose_fallback_pool,
@@ -23,17 +23,17 @@
     return pools_by(PoolAssignment(), range(count))
 
 
-def pools_by(division, numbers):
+def pools_by(pool_assignment, numbers):
     """Return the pool of each endpoint in an assignment."""
-    pools = division.assign([endpoint(f"e-{number}") for number in numbers])
+    pools = pool_assignment.assign([endpoint(f"e-{number}") for number in numbers])
     return {item.id: number for number, pool in enumerate(pools) for item in pool}
 
 
 @given(st.lists(st.sets(st.integers(0, 120), max_size=100), max_size=6))
 def test_cached_results_change_no_pool(fleets):
-    division = PoolAssignment()
+    pool_assignment = PoolAssignment()
     for numbers in fleets:
-        assert pools_by(division, numbers) == pools_by(PoolAssignment(), numbers)
+        assert pools_by(pool_assignment, numbers) == pools_by(PoolAssignment(), numbers)
 
 
 def test_a_change_of_one_endpoint_costs_no_draws_for_the_others(monkeypatch):
@@ -44,10 +44,10 @@
         return len(text)
 
     monkeypatch.setattr(division_module, "_hash", draw)
-    division = PoolAssignment()
-    pools_by(division, range(5 * MAX_POOL_SIZE - 1))
+    pool_assignment = PoolAssignment()
+    pools_by(pool_assignment, range(5 * MAX_POOL_SIZE - 1))
     drawn.clear()
-    pools_by(division, range(5 * MAX_POOL_SIZE))
+    pools_by(pool_assignment, range(5 * MAX_POOL_SIZE))
     assert len(drawn) == 5
 
 
--- a/tests/simulated_deciders.py
+++ b/tests/simulated_deciders.py
@@ -16,18 +16,17 @@
 from dataclasses import dataclass, field, replace
 from unittest.mock import patch
 
+from benchmarks.fair_parts import least_part
+from carawayfold.coordination.scheduling import coordinator as desk_module
 from carawayfold.coordination.scheduling.coordinator import (
     ACTIVE_REPORT_INTERVAL,
     SchedulingCoordinator,
 )
-
-from benchmarks.fair_parts import least_part
-from carawayfold.coordination.scheduling import coordinator as desk_module
 from carawayfold.coordination.scheduling.offers import Granted, Offer, Outcome
 from carawayfold.coordination.scheduling.scheduler import Scheduler
 from carawayfold.gateway import PRESSURE_INTERVAL
 from carawayfold.protocol.exchanges import Part
-from carawayfold.state.pressure import OverloadDetector
+from carawayfold.state.overload import OverloadDetector
 from carawayfold.state.routes import CallerLimits, RouteTable, ServiceConfig
 from tests.decider_faults import FAULTS
 from tests.simulated_engines import BROKEN_IN, REFUSED_IN, Registrations
--- a/tests/simulated_notices.py
+++ b/tests/simulated_notices.py
@@ -13,10 +13,10 @@
 
 import logbook
 
+from carawayfold.coordination.knowledge.endpoint_notices import EndpointNotices
 from carawayfold.coordination.knowledge.knowledge import Knowledge
-from carawayfold.coordination.knowledge.notices import EndpointNotices
 from carawayfold.protocol.exchanges import ResponseFields
-from carawayfold.state.rests import EndpointBackoffs
+from carawayfold.state.endpoint_backoffs import EndpointBackoffs
 from tests.schedule_builders import endpoint
 from tests.simulated_fleet import simulate, started
 
--- a/tests/state/test_rests.py
+++ b/tests/state/test_endpoint_backoffs.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from carawayfold.state.rests import (
+from carawayfold.state.endpoint_backoffs import (
     MAX_BACKOFF_DURATION,
     PROBE_INTERVAL,
     EndpointBackoffs,
--- a/tests/state/test_pressure.py
+++ b/tests/state/test_overload.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from carawayfold.state.pressure import (
+from carawayfold.state.overload import (
     CALM_DURATION,
     FRACTION_DECREASE,
     MAX_INCREASE_FACTOR,
--- a/tests/state/test_prefixes.py
+++ b/tests/state/test_prefix_cache.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from carawayfold.protocol.exchanges import Part
-from carawayfold.state.prefixes import PrefixCache
+from carawayfold.state.prefix_cache import PrefixCache
 
 
 def parts(*names):
--- a/tests/state/test_service_rows.py
+++ b/tests/state/test_service_rows.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from carawayfold.coordination.slots.service_book import ServiceAccounts
+from carawayfold.coordination.slots.service_accounts import ServiceAccounts
 from carawayfold.protocol import peer_pb2
 from carawayfold.protocol.names import NameTable
 from carawayfold.state.ids import OrganisationId, RouterId, ServiceId
--- a/tests/state/test_patience.py
+++ b/tests/state/test_wait_estimator.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from carawayfold.state.patience import WaitEstimator
+from carawayfold.state.wait_estimator import WaitEstimator
 
 
 def test_caller_that_retries_has_waited():
