--- a/benchmarks/emulation/ablation.py
+++ b/benchmarks/emulation/ablation.py
@@ -48,37 +48,39 @@
 
 
 MECHANISMS = (
-    Mechanism("copies between engines", copy_sources, "LEAST_FETCHED", float("inf")),
-    Mechanism("kept prefixes go first", placement, "REREAD_WEIGHT", 0.0),
+    Mechanism(
+        "copies between engines", copy_sources, "MIN_COPIED_TOKENS", float("inf")
+    ),
+    Mechanism("kept prefixes go first", placement, "REPEATED_PREFILL_WEIGHT", 0.0),
     Mechanism("late choices are avoided", placement, "LATE_PENALTY", 0.0),
-    Mechanism("prompts wait here", placement, "READ_AHEAD", 1.0),
-    Mechanism("half for work beyond a share", scheduler, "BEYOND_SHARE_PART", 1.0),
-    Mechanism("the worst served organisation", usage, "BEHIND", 0.0),
-    Mechanism("the worst served kind", scheduler, "LEAST_SERVED", 0.0),
-    Mechanism("long prompts may miss", scheduler, "OWN_READING", 0.0),
+    Mechanism("prompts wait here", placement, "READ_AHEAD_DURATION", 1.0),
+    Mechanism("half for work beyond a share", scheduler, "BEYOND_SHARE_FRACTION", 1.0),
+    Mechanism("the worst served organisation", usage, "BEHIND_FRACTION", 0.0),
+    Mechanism("the worst served kind", scheduler, "MIN_SERVED_RATIO", 0.0),
+    Mechanism("long prompts may miss", scheduler, "OWN_PREFILL_FRACTION", 0.0),
     Mechanism("predictions may miss", scheduler, "PREDICTION_MARGIN", 0.0),
-    Mechanism("late work waits a little", scheduler, "LATE_PATIENCE", 0.0),
+    Mechanism("late work waits a little", scheduler, "LATE_WAIT_FRACTION", 0.0),
 )
 
 
 #: Constants that decisions read, for `sensitivity`.
 CONSTANTS = (
-    (placement, "READ_AHEAD"),
-    (placement, "REREAD_WEIGHT"),
-    (placement, "FETCH_WEIGHT"),
+    (placement, "READ_AHEAD_DURATION"),
+    (placement, "REPEATED_PREFILL_WEIGHT"),
+    (placement, "COPY_WEIGHT"),
     (placement, "LATE_PENALTY"),
     (placement, "FULL_ENGINE_PENALTY"),
     (placement, "FAILURE_PENALTY"),
-    (scheduler, "BEYOND_SHARE_PART"),
-    (scheduler, "LEAST_SERVED"),
+    (scheduler, "BEYOND_SHARE_FRACTION"),
+    (scheduler, "MIN_SERVED_RATIO"),
     (scheduler, "SERVED_HALF_LIFE"),
-    (scheduler, "FIXED_COST"),
+    (scheduler, "FIXED_COST_TOKENS"),
     (scheduler, "PREDICTION_MARGIN"),
-    (scheduler, "OWN_READING"),
-    (scheduler, "LATE_PATIENCE"),
-    (scheduler, "LATE_RETRY"),
-    (scheduler, "RETRY_PART"),
-    (usage, "BEHIND"),
+    (scheduler, "OWN_PREFILL_FRACTION"),
+    (scheduler, "LATE_WAIT_FRACTION"),
+    (scheduler, "LATE_RETRY_FACTOR"),
+    (scheduler, "MAX_RETRY_FRACTION"),
+    (usage, "BEHIND_FRACTION"),
 )
 
 
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -84,7 +84,9 @@
     BlockReason.LEAVING: "grant returned: endpoint is leaving",
     BlockReason.EVACUATED: "grant returned: data centre of the endpoint is evacuated",
     BlockReason.WARMING: "grant returned: endpoint is warming up",
-    BlockReason.RESTING: "grant returned: endpoint accepts no requests from this router",
+    BlockReason.RESTING: (
+        "grant returned: endpoint accepts no requests from this router"
+    ),
 }
 
 
--- a/tests/coordination/knowledge/test_endpoint_notices.py
+++ b/tests/coordination/knowledge/test_endpoint_notices.py
@@ -74,7 +74,7 @@
 
 
 def test_the_number_of_notices_kept_is_limited(monkeypatch):
-    monkeypatch.setattr("carawayfold.state.endpoints.ANNOUNCED_KEPT", 3)
+    monkeypatch.setattr("carawayfold.state.endpoints.MAX_ANNOUNCED", 3)
     known = table(endpoint(NAME))
     known.announce(NAME, 0.0)
     for number in range(9):
--- a/tests/coordination/knowledge/test_knowledge_model.py
+++ b/tests/coordination/knowledge/test_knowledge_model.py
@@ -30,7 +30,7 @@
 
 def test_the_check_finds_a_copy_that_brings_back_what_had_gone(monkeypatch):
     monkeypatch.setattr(
-        EndpointTable, "without_departed", lambda self, endpoints, now: endpoints
+        EndpointTable, "without_deregistered", lambda self, endpoints, now: endpoints
     )
     assert Event.RESTORE in check(Model, DEPTH).counterexample
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -22,10 +22,10 @@
 BELOW = ("state", "protocol", "platform")
 #: Modules that still import each other.
 CIRCLES = {
-    frozenset({"fleet.fleet", "fleet.listeners", "fleet.rosters"}),
+    frozenset({"fleet.fleet", "fleet.heartbeat_recipients", "fleet.hub_lists"}),
     frozenset({"requests.attempts", "requests.forwarding"}),
     frozenset({"slots.exchange", "slots.link_fleet"}),
-    frozenset({"requests.calls", "requests.once"}),
+    frozenset({"requests.calls", "requests.at_most_once"}),
 }
 
 
