--- a/carawayfold/coordination/knowledge/administration.py
+++ b/carawayfold/coordination/knowledge/administration.py
@@ -33,7 +33,7 @@
     ----------
     application : Application
         The router.
-    gate : OperatorGate
+    gate : OperatorAuthenticator
         Checks tokens.
     """
 
--- a/carawayfold/coordination/knowledge/anti_entropy.py
+++ b/carawayfold/coordination/knowledge/anti_entropy.py
@@ -180,7 +180,7 @@
 
         The age reported by a peer with newer records does not apply to the records of
         this router. A reported age increases from the arrival of the heartbeat, not
-        from when a roster listed the peer or a role changed: old records would appear
+        from when a hub list named the peer or a role changed: old records would appear
         to be new, and be reported to others as new.
         """
         now = asyncio.get_running_loop().time()
--- a/carawayfold/coordination/knowledge/endpoint_notices.py
+++ b/carawayfold/coordination/knowledge/endpoint_notices.py
@@ -48,7 +48,7 @@
         The routers.
     knowledge : Knowledge
         Holds which endpoints leave.
-    rests : Rests
+    rests : EndpointBackoffs
         Holds which endpoints asked this router for a pause. Other routers may go on
         sending to them.
     """
@@ -83,7 +83,7 @@
         ----------
         endpoint : Endpoint
             The endpoint that responded.
-        answered : Answered
+        answered : ResponseFields
             The head of the response.
         sent_at : float
             Loop time in seconds at which the request was sent.
--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -49,7 +49,7 @@
         Where it is sent.
     call_id : CallId
         Identifies the grant to the scheduler.
-    donor : Endpoint or None
+    copy_source : Endpoint or None
         Endpoint from which `endpoint` is to copy cached memory.
     """
 
@@ -60,7 +60,7 @@
 
 
 class Attempt:
-    """One attempt to have a request answer_head by one endpoint.
+    """One attempt to have a request answered by one endpoint.
 
     Parameters
     ----------
@@ -77,13 +77,13 @@
         Loop time at which it started.
     first_event_delay : float or None
         Seconds from its start to its first complete event, if one was received.
-    endpoint_lost : bool
+    suspend_endpoint : bool
         Whether the endpoint crashed or fell silent during the attempt.
     forwarding_body : bool
         Whether the body is forwarded as it arrives, since it exceeds the buffer.
     stopped : bool
         Whether this router stopped it since its content was quarantined.
-    withdrawn : Bar or None
+    withdrawn : BlockReason or None
         Why this router withdrew it before it was sent, if it did.
     """
 
--- a/carawayfold/coordination/requests/calls.py
+++ b/carawayfold/coordination/requests/calls.py
@@ -67,7 +67,7 @@
         Loop time at which the request was received.
     deadline : float
         Loop time by which an endpoint must have been granted.
-    once : bool
+    at_most_once : bool
         Whether the request may run at most once.
     task : asyncio.Task or None
         Task that handles the request; cancelled if the caller disconnects.
@@ -178,7 +178,7 @@
         Configuration in force.
     dispatcher : Dispatcher
         Grants slots of endpoints.
-    health : HealthBook
+    health : EndpointHealthTracker
         Records successes and failures of endpoints.
     metrics : Metrics
         Counters and histograms by organisation.
--- a/carawayfold/coordination/requests/claims.py
+++ b/carawayfold/coordination/requests/claims.py
@@ -92,7 +92,7 @@
 
     Attributes
     ----------
-    book : ClaimBook
+    book : ClaimTable
         The claims that the log holds, as far as it has been read.
     answers : AnswerStore
         Stored answers to requests of this router, by digest.
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -97,7 +97,7 @@
     ----------
     incoming : Incoming
         Connection and bytes of the request.
-    parsed : Asked
+    parsed : RequestFields
         Parsed headers of the request.
     route : Route
         Route that matched the host and path.
@@ -129,7 +129,7 @@
         Loop time at which the answer to the caller began; 0 before.
     grant_wait : float
         Seconds for which the request waited for its last grant.
-    donor : EndpointId or None
+    copy_source : EndpointId or None
         Endpoint from which the granted one is to copy cached memory.
     basis : Basis or None
         Knowledge on which the last endpoint was granted.
@@ -179,7 +179,7 @@
 
     Parameters
     ----------
-    desk : Desk
+    coordinator : SchedulingCoordinator
         Obtains grants of endpoints from the scheduling routers.
     http : HttpClient
         Connections to endpoints.
@@ -187,11 +187,11 @@
         Reads and writes the platform's headers.
     budget : RetryBudget
         Limits retries to this router's share of the fleet's budget.
-    pulse : Pulse
+    endpoint_activity : EndpointActivity
         Time of the last activity of each endpoint.
     containment : Containment
         Rejects requests with contents under which endpoints crash.
-    notices : Notices
+    notices : EndpointNotices
         Processes what endpoints report about themselves in answers.
     metrics : ForwardMetrics
         Counters of requests, retries and refusals.
@@ -202,7 +202,7 @@
 
     Attributes
     ----------
-    patience : dict of RouteId to Patience
+    patience : dict of RouteId to WaitEstimator
         Per route, estimates from a caller's remaining time how long it has waited.
     calls : dict of ForwardedCall to asyncio.Task
         Requests in flight with the tasks that handle them.
--- a/carawayfold/coordination/requests/relay.py
+++ b/carawayfold/coordination/requests/relay.py
@@ -73,7 +73,7 @@
         The answer to the caller.
     address : Address
         Address of the endpoint.
-    once : bool
+    at_most_once : bool
         Whether the request may run at most once.
 
     Attributes
--- a/carawayfold/coordination/scheduling/backlog.py
+++ b/carawayfold/coordination/scheduling/backlog.py
@@ -30,7 +30,7 @@
         Its data centre.
     speed : float
         Prefill rate in tokens per second.
-    first_token : float
+    first_token_delay : float
         Seconds to the first token without any prefill.
     residence : float
         Seconds that a request stays, on average.
--- a/carawayfold/coordination/scheduling/caches.py
+++ b/carawayfold/coordination/scheduling/caches.py
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    source : CacheSource
+    source : CacheReporter
         Client of the cache listings.
     coordinator : SchedulingCoordinator
         Pools and schedulers that receive the listings.
--- a/carawayfold/coordination/scheduling/endpoint_load.py
+++ b/carawayfold/coordination/scheduling/endpoint_load.py
@@ -89,7 +89,7 @@
         Tokens of memory used by active requests.
     active : dict
         Requests in flight.
-    prefixes : KeptPrefixes
+    prefixes : PrefixCache
         Prefixes that it has cached.
     first_tokens : FirstTokenModel
         Model of the time to the first token.
--- a/carawayfold/coordination/scheduling/scheduler.py
+++ b/carawayfold/coordination/scheduling/scheduler.py
@@ -249,7 +249,7 @@
     warm_up_allowed_from : float
         Time from which this scheduler may grant endpoints that warm up; infinity for
         never.
-    usage : UsageBook
+    usage : UsageTable
         Tokens requested by and granted to each organisation.
     """
 
--- a/carawayfold/coordination/slots/dispatch.py
+++ b/carawayfold/coordination/slots/dispatch.py
@@ -38,7 +38,7 @@
     ----------
     settings : Settings
         Limits of the queues.
-    rows : OwnRows
+    rows : LocalRows
         Service received through this router.
 
     Attributes
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -76,7 +76,7 @@
         Live routers and the leaders of pools.
     dispatcher : Dispatcher
         Requests held by this router.
-    rows : OwnRows
+    rows : LocalRows
         Service received through this router.
     health : EndpointHealthTracker
         Health of endpoints.
--- a/carawayfold/coordination/slots/service_accounts.py
+++ b/carawayfold/coordination/slots/service_accounts.py
@@ -25,7 +25,7 @@
     ----------
     own : RouterId
         This router.
-    rows : OwnRows
+    rows : LocalRows
         Service received through this router.
     share_of : callable
         Returns the share of an organisation.
--- a/carawayfold/gateway.py
+++ b/carawayfold/gateway.py
@@ -91,7 +91,7 @@
         Validated settings.
     load_settings : callable
         Reads and validates the settings again; returns them, or a list of errors.
-    log_lines_left_out : callable
+    dropped_log_lines : callable
         Returns the number of log lines dropped since the start.
     """
 
--- a/carawayfold/platform/engines.py
+++ b/carawayfold/platform/engines.py
@@ -41,7 +41,7 @@
 class EngineClient:
     """Cache source that queries engines over HTTP.
 
-    Implements `carawayfold.protocol.sources.CacheSource`.
+    Implements `carawayfold.protocol.sources.CacheReporter`.
 
     Parameters
     ----------
--- a/carawayfold/platform/store.py
+++ b/carawayfold/platform/store.py
@@ -107,8 +107,8 @@
 class StoreClient:
     """HTTP client of the store.
 
-    Every call raises `SourceError` if it fails, and `NoAnswer`, one of its kinds, if
-    the store does not respond in time.
+    Every call raises `SourceError` if it fails, and `SourceTimeout`, one of its kinds,
+    if the store does not respond in time.
 
     Parameters
     ----------
@@ -133,7 +133,7 @@
 
         Raises
         ------
-        HistoryLost
+        RecordsNotRetained
             If the store is restored from a copy between two pages of the list.
         """
         found: list[Record] = []
@@ -157,7 +157,7 @@
 
         Raises
         ------
-        HistoryLost
+        RecordsNotRetained
             If the records are no longer retained, or if the store has been restored
             from a copy, which invalidates earlier offsets.
         """
--- a/carawayfold/protocol/datagrams.py
+++ b/carawayfold/protocol/datagrams.py
@@ -46,9 +46,9 @@
         Whether it is a hub, to which other routers connect and which leads pools.
     size : int
         Routers that it knows, itself included; 0 if not stated.
-    roster : int
-        Checksum of the hubs that it knows, sent to the hub that keeps its roster up to
-        date; 0 for other receivers.
+    hub_list_checksum : int
+        Checksum of the hubs that it knows, sent to the hub that keeps its hub list up
+        to date; 0 for other receivers.
     verdicts : int
         Checksum of the verdicts on contents that it knows; 0 for none.
     refused : bool
@@ -59,7 +59,7 @@
     operators_age : int
         Milliseconds since its records of the operators' commands were last complete,
         read from the store or from a peer.
-    late : bool
+    lagging : bool
         Whether it is overloaded, so that other routers should lead its pools.
     """
 
--- a/carawayfold/protocol/exchanges.py
+++ b/carawayfold/protocol/exchanges.py
@@ -112,8 +112,8 @@
     ) -> HeaderList:
         """Return the headers of a request to `endpoint`.
 
-        With `donor`, the endpoint first copies the prompt parts cached by the donor.
-        `time_left` is in seconds.
+        With `copy_source`, the endpoint first copies the prompt parts cached by that
+        endpoint. `time_left` is in seconds.
         """
 
     def matches_request(self, asked: RequestFields, head: Head) -> bool:
--- a/carawayfold/state/claims.py
+++ b/carawayfold/state/claims.py
@@ -148,7 +148,7 @@
 
     Parameters
     ----------
-    lifetime : float
+    retention_duration : float
         Seconds for which a claim holds its key.
     """
 
--- a/carawayfold/state/crashes.py
+++ b/carawayfold/state/crashes.py
@@ -106,13 +106,13 @@
     ----------
     organisation : OrganisationId
         Organisation whose requests have the content.
-    ran_well_at : float
+    last_success_at : float
         Monotonic seconds of the last known run that completed; negative infinity if
         there is none.
     crashes : dict
         Crashes by endpoint. Further crashes of one endpoint have ``#2``, ``#3`` and so
         on after its name.
-    judged : dict
+    judged_weights : dict
         Weights of the crashes at the last verdict.
     """
 
--- a/carawayfold/state/endpoints.py
+++ b/carawayfold/state/endpoints.py
@@ -96,7 +96,7 @@
         until which they are kept.
     incarnations : dict
         Newest known incarnation of each name, in Unix milliseconds.
-    departed : dict
+    deregistered_at : dict
         Monotonic seconds of each recent deregistration, by name.
     leaving_since : dict
         Monotonic seconds at which each registered endpoint that leaves was first known
--- a/carawayfold/state/first_tokens.py
+++ b/carawayfold/state/first_tokens.py
@@ -47,7 +47,7 @@
     ----------
     speed : float
         Fitted tokens that the engine reads a second.
-    first_token : float
+    first_token_delay : float
         Fitted seconds to the first token without any tokens to read.
     error : float
         Moving average of the absolute error of predictions, in seconds.
--- a/carawayfold/state/quarantine.py
+++ b/carawayfold/state/quarantine.py
@@ -88,7 +88,7 @@
         Unix milliseconds of the verdict; the newest one applies.
     held_until : float
         Monotonic seconds until which the content is rejected.
-    forget_at : float
+    expires_at : float
         Monotonic seconds at which the entry expires.
     since : float
         Monotonic seconds of the first crash that counts. A run that completes later is
--- a/carawayfold/state/service_rows.py
+++ b/carawayfold/state/service_rows.py
@@ -136,7 +136,7 @@
         Requests that ended.
     in_flight : int
         Requests in flight.
-    heard : float
+    updated_at : float
         Monotonic seconds at which the last change was received.
     born : int
         Version of the peer at which the row was created.
--- a/carawayfold/transport/edge.py
+++ b/carawayfold/transport/edge.py
@@ -484,8 +484,9 @@
         self.stopping = False
         #: Pattern of the request id header; its groups are name and value.
         self.id_pattern = header_pattern(id_header)
-        #: `refuses` returns whether to reject the next request because this process is
-        #: overloaded; `on_rejected` receives the id of each request rejected for that.
+        #: `should_reject` returns whether to reject the next request because this
+        #: process is overloaded; `on_rejected` receives the id of each request rejected
+        #: for that.
         self.should_reject: Callable[[], bool] = lambda: False
         self.on_rejected: Callable[[str], None] = lambda request: None
         self.connections: dict[socket, CallerConnection] = {}
--- a/tests/coordination/knowledge/test_registrations.py
+++ b/tests/coordination/knowledge/test_registrations.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("seed", [52])
 def test_reported_ages_keep_increasing(seed):
-    """A roster or a change of role must not reset the age of a heartbeat.
+    """A hub list or a change of role must not reset the age of a heartbeat.
 
     The hubs that read for their data centres stop and the store refuses the other hubs.
     If the age is reset, a router that became a hub 0.04 s ago reports records 0.04 s
--- a/tests/simulated_deciders.py
+++ b/tests/simulated_deciders.py
@@ -1,9 +1,9 @@
 """A fleet whose routers need time for what they do, while organisations flood it.
 
-The product's own desks, schedulers and heartbeats on a simulated clock. What a router
-does is charged at the measured cost of each job on its share of a core; datagrams and
-timers wait until it is free. The fleet is a tenth of a deployment of 67 routers before
-64 engines: a tenth of the requests, each job ten times as dear.
+The product's own coordinators, schedulers and heartbeats on a simulated clock. What a
+router does is charged at the measured cost of each job on its share of a core;
+datagrams and timers wait until it is free. The fleet is a tenth of a deployment of 67
+routers before 64 engines: a tenth of the requests, each job ten times as dear.
 """
 
 from __future__ import annotations
@@ -166,7 +166,7 @@
 
 
 class ChargedRouter:
-    """A desk whose datagrams and timers wait until its router is free.
+    """A coordinator whose datagrams and timers wait until its router is free.
 
     It refuses callers while its loop is late, as the product does.
     """
--- a/tests/simulated_notices.py
+++ b/tests/simulated_notices.py
@@ -1,6 +1,6 @@
 """What endpoints say in answers, on its way to every router of a simulated fleet.
 
-The store tells nothing. Each router's part is the product's own `Notices` and
+The store tells nothing. Each router's part is the product's own `EndpointNotices` and
 `Knowledge`. ``python -m tests.simulated_notices`` prints how long the last router takes
 at each size under each trouble.
 """
