--- a/tests/coordination/scheduling/test_caches.py
+++ b/tests/coordination/scheduling/test_caches.py
@@ -8,7 +8,7 @@
 from carawayfold.coordination.scheduling.offers import Granted
 from carawayfold.protocol.exchanges import Part
 from carawayfold.protocol.sources import SourceError
-from tests.coordination.scheduling.test_desk import (
+from tests.coordination.scheduling.test_coordinator import (
     SimulatedNetwork,
     coordinators,
     decider,
