--- a/tests/simulated_crashes.py
+++ b/tests/simulated_crashes.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 
 import msgspec
-from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 
 from carawayfold.coordination.containment.containment import Containment
 from carawayfold.coordination.containment.crash_reports import LostAttempt
+from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 from carawayfold.protocol.sources import SourceError
 from carawayfold.settings import Address
 from carawayfold.state.contents import content_id
