--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -181,7 +181,7 @@
     seen = slopes["exchange: memory of peers' rows"].each(size.rows) * size.peers
     links = slopes["membership: resident memory"].each(size.peers)
     memory = rows + seen + links
-    module = "coordination/slots: exchange.py, service_book.py"
+    module = "coordination/slots: exchange.py, service_accounts.py"
     messages = size.beats * size.peers
     stretched = not slopes["exchange: heartbeats, sent"].reaches(size.peers)
     return Cost(
