--- a/carawayfold/coordination/fleet/fleet.py
+++ b/carawayfold/coordination/fleet/fleet.py
@@ -221,7 +221,7 @@
         leader = self.leader(subject)
         if leader not in self.suspects.until:
             return leader
-        if self.suspects.alone():
+        if self.suspects.is_isolated():
             return self.own.router
         return self.membership.responsible(subject, excluded=self.suspects.until)
 
@@ -264,11 +264,11 @@
             self.responsible_routers.clear()
         for message in datagram.messages:
             if type(message) is Heartbeat:
-                self._take_heartbeat(router, datagram.incarnation, message)
+                self._process_heartbeat(router, datagram.incarnation, message)
             elif type(message) is HubListMessage:
                 self.hub_lists.take(router, message)
 
-    def _take_heartbeat(
+    def _process_heartbeat(
         self, router: RouterId, incarnation: int, heartbeat: Heartbeat
     ) -> None:
         self.heartbeats[router] = heartbeat
@@ -325,7 +325,7 @@
         elif self.role is Role.HUB:
             peers = len(self.hubs())
         else:
-            # A detached router sends often: the role is short and none leads in it.
+            # A detached router sends frequently: the role is brief, and only hubs lead.
             peers = 0
         return HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL_PER_PEER * max(
             0, peers - MAX_PEERS_AT_BASE_INTERVAL
@@ -465,9 +465,9 @@
         logger.info("router failed", extra={"router": router, "reason": reason})
         self.schedule_change()
 
-    def unanswered(self, router: RouterId) -> None:
-        """Make a router that did not answer this one's offers a suspect."""
-        self.suspects.note(router, self.loop.time())
+    def add_suspect(self, router: RouterId) -> None:
+        """Add a router that did not answer offers of this one to the suspects."""
+        self.suspects.add(router, self.loop.time())
         self.responsible_routers.clear()
 
     def is_seen_since(self, router: RouterId, since: float) -> bool:
--- a/carawayfold/coordination/fleet/heartbeat_recipients.py
+++ b/carawayfold/coordination/fleet/heartbeat_recipients.py
@@ -25,7 +25,7 @@
 
 
 class HeartbeatRecipients:
-    """Chooses the routers that this router's heartbeats go to.
+    """Chooses the recipients of this router's heartbeats.
 
     Parameters
     ----------
@@ -66,23 +66,23 @@
             names += [item.router for item in responsive if not item.hub]
         with_hub = {item.data_centre for item in self.fleet.hubs()}
         with_hub.add(self.fleet.own.data_centre)
-        names += self._unknown_local_routers(alone=not self.fleet.local_hubs())
+        names += self._unknown_local_routers(is_only_hub=not self.fleet.local_hubs())
         names += self.fleet.hub_lists.take_contacts()
         names += self._routers_to_query(with_hub)
         return list(dict.fromkeys(names))
 
-    def _unknown_local_routers(self, alone: bool) -> list[RouterId]:
+    def _unknown_local_routers(self, is_only_hub: bool) -> list[RouterId]:
         """Return listed routers of this data centre that are not live members.
 
-        One at random, all of them for the only hub. This merges routers of one data
-        centre that have formed two groups which do not know each other.
+        A random one, or all of them if this router is the only hub. This merges routers
+        of one data centre that have formed two groups which do not know each other.
         """
         live = {
             item.router for item in self.fleet.members_in(self.fleet.own.data_centre)
         }
         listed = [item.router for item in self.fleet.local_entries()]
         unknown = [name for name in listed if name not in live]
-        return unknown if alone or not unknown else [random.choice(unknown)]
+        return unknown if is_only_hub or not unknown else [random.choice(unknown)]
 
     def _routers_to_query(self, excluded: set[DataCentreId]) -> list[RouterId]:
         """Return some routers of each data centre whose hubs are unknown."""
--- a/carawayfold/coordination/fleet/hub_lists.py
+++ b/carawayfold/coordination/fleet/hub_lists.py
@@ -15,7 +15,7 @@
     from carawayfold.protocol.datagrams import Heartbeat
     from carawayfold.state.ids import DataCentreId, RouterId
 
-#: Seconds at least between two sets of hub lists from one hub to another. Two hubs that
+#: Minimum seconds between two sets of hub lists from one hub to another. Two hubs that
 #: do not know each other learn of each other from a third one.
 MIN_HUB_LIST_INTERVAL = 1.0
 
--- a/carawayfold/coordination/fleet/hubs.py
+++ b/carawayfold/coordination/fleet/hubs.py
@@ -100,8 +100,8 @@
     replaced = all(item.hub for item in chosen if item is not own)
     if own not in chosen and chosen and replaced:
         return Role.LEAF
-    alone = not any(item.hub for item in local if item is not own)
-    return Role.DETACHED if alone and current is Role.MESH else Role.HUB
+    is_only_hub = not any(item.hub for item in local if item is not own)
+    return Role.DETACHED if is_only_hub and current is Role.MESH else Role.HUB
 
 
 def member_from_entry(entry: PeerEntry) -> Member:
--- a/carawayfold/coordination/fleet/membership.py
+++ b/carawayfold/coordination/fleet/membership.py
@@ -43,7 +43,7 @@
     last_seen : float
         Monotonic seconds at which its last heartbeat or frame arrived.
     processor : int
-        Capacity of its processor, in hundredths of a usual core.
+        Capacity of its processor, in hundredths of a reference core.
     hub : bool
         Whether it is a hub and may lead pools; in a small fleet every router is.
     from_hub_list : bool
--- a/carawayfold/coordination/fleet/suspects.py
+++ b/carawayfold/coordination/fleet/suspects.py
@@ -27,8 +27,8 @@
         #: Loop time at which each suspicion ends.
         self.until: dict[RouterId, float] = {}
 
-    def note(self, router: RouterId, now: float) -> None:
-        """Make a router that did not answer a suspect."""
+    def add(self, router: RouterId, now: float) -> None:
+        """Add a router that did not answer."""
         self.until[router] = now + SUSPECT_DURATION
 
     def clear(self, router: RouterId) -> bool:
@@ -36,12 +36,12 @@
         return self.until.pop(router, None) is not None
 
     def expire(self, now: float) -> bool:
-        """Remove suspects whose time is over; return whether there were any."""
+        """Remove expired suspects; return whether there were any."""
         expired = [router for router, until in self.until.items() if until <= now]
         for router in expired:
             del self.until[router]
         return bool(expired)
 
-    def alone(self) -> bool:
-        """Return whether so many are suspects that this router itself is isolated."""
+    def is_isolated(self) -> bool:
+        """Return whether there are so many suspects that this router is isolated."""
         return len(self.until) >= MIN_SUSPECTS_IF_ISOLATED
--- a/carawayfold/coordination/scheduling/backlog.py
+++ b/carawayfold/coordination/scheduling/backlog.py
@@ -33,7 +33,7 @@
     first_token_delay : float
         Seconds to the first token without any prefill.
     residence : float
-        Seconds that a request stays, on average.
+        Mean residence time of a request in seconds.
     slots : float
         Requests that may run at once.
     failure_ratio : float
@@ -42,7 +42,7 @@
         The failure ratio above the mean of the pool. Some requests fail at any
         endpoint, so the absolute ratio is no measure of the endpoint.
     suspended : bool
-        Whether it may not be used yet after it did not respond.
+        Whether it is suspended, see `EndpointLoad.suspended_until`.
     can_be_copied_from : bool
         Whether other engines may copy its cached prefixes.
     prefill_tokens : float
@@ -110,7 +110,7 @@
         )
 
     def add(self, prefill_tokens: int, memory: int) -> None:
-        """Add a request of so many tokens that is planned for the endpoint."""
+        """Add a request that is planned for the endpoint."""
         self.prefill_tokens += prefill_tokens
         self.running += 1
         self.memory += memory
--- a/carawayfold/coordination/scheduling/coordinator.py
+++ b/carawayfold/coordination/scheduling/coordinator.py
@@ -117,8 +117,8 @@
 #: Pause after a round of decisions, as a multiple of the time that the round took, so
 #: that a router with many decisions still processes received messages in time.
 ROUND_PAUSE_FACTOR = 3.0
-#: Seconds by which a round of decisions is late, or by which the next one is deferred,
-#: from which routers are instructed to throttle; and seconds for which that lasts.
+#: Delay in seconds of a late or deferred round of decisions from which a router counts
+#: as overloaded and instructs others to throttle, and seconds for which it does so.
 LATE_ROUND_DELAY = 0.03
 OVERLOAD_DURATION = 0.5
 #: Minimum seconds between log lines on one router that doesn't answer.
@@ -168,7 +168,7 @@
         self.evacuated: frozenset[DataCentreId] = frozenset()
         #: Loop time at which this router was notified that each endpoint leaves.
         self.leaving_since: dict[EndpointName, float] = {}
-        #: Endpoints that asked this router for a pause.
+        #: Backoffs that endpoints requested from this router.
         self.rests = EndpointBackoffs()
         self.sent_prefixes: OrderedDict[str, EndpointId] = OrderedDict()
         self.last_call_number = 0
@@ -294,17 +294,17 @@
             return BlockReason.WARMING
         return None
 
-    def rests_in(self, pool: PoolId) -> dict[EndpointId, float]:
-        """Return the loop time until which each paused endpoint of a pool is paused."""
+    def backoffs_in(self, pool: PoolId) -> dict[EndpointId, float]:
+        """Return the loop time at which the backoff of each endpoint of a pool ends."""
         pool_state = self.pools.get(pool)
         if pool_state is None or not self.rests.entries:
             return {}
         now = self.loop.time()
-        opens = {
+        available = {
             endpoint: self.rests.available_at(endpoint, now)
             for endpoint in pool_state.scheduler.loads
         }
-        return {endpoint: at for endpoint, at in opens.items() if at}
+        return {endpoint: at for endpoint, at in available.items() if at}
 
     def _count_engines(self, routes: RouteTable) -> int:
         """Return the number of endpoints of all model services."""
@@ -416,7 +416,7 @@
         decide_locally : bool
             Whether this router decides even if it doesn't lead the pool.
         """
-        rests = self.rests_in(pool)
+        rests = self.backoffs_in(pool)
         if rests:
             offer = replace(offer, rests=rests)
         tokens = self.admission.take_throttled_tokens(offer, pool)
@@ -490,7 +490,7 @@
         """Withdraw a request from a router that doesn't answer; return the next one."""
         self._log_unanswered(target)
         self.fleet.send(target, WithdrawMessage(pending.pool, pending.offer.call))
-        self.fleet.unanswered(target)
+        self.fleet.add_suspect(target)
         pending.first_offer_at = self.loop.time()
         pending.unanswered = 0
         pending.queued = False
@@ -546,7 +546,7 @@
     ) -> EndpointId | None:
         """Return the endpoint to which this router last sent the same prefix.
 
-        None if it gets no more requests, or is in no allowed data centre.
+        None if that endpoint is excluded or its data centre is not allowed.
         """
         found = self.sent_prefixes.get(prompt[-2].id) if len(prompt) > 1 else None
         endpoint = self.endpoints.get(found) if found is not None else None
@@ -748,13 +748,13 @@
     def take(self, datagram: Datagram) -> None:
         """Process the messages of a peer."""
         for message in datagram.messages:
-            self._take(message, datagram.sender)
+            self._process(message, datagram.sender)
 
     @singledispatchmethod
-    def _take(self, message: Message, sender: RouterId) -> None:
+    def _process(self, message: Message, sender: RouterId) -> None:
         """Process one message; those of other components are ignored."""
 
-    @_take.register
+    @_process.register
     def _(self, message: OfferMessage, sender: RouterId) -> None:
         decision = self.decided.get(message.call)
         if decision is not None:
@@ -787,11 +787,11 @@
         Routers that know different endpoints assign them to different pools. A router
         that didn't answer would be considered failed.
         """
-        self.decision_statistics.unknown += 1
+        self.decision_statistics.unknown_pool_offers += 1
         rejection = _unknown_pool_rejection(message.call)
         self.fleet.send(sender, decision_message(rejection, self.basis()))
 
-    @_take.register
+    @_process.register
     def _(self, message: WithdrawMessage, sender: RouterId) -> None:
         pool_state = self.pools.get(message.pool)
         if pool_state is not None:
@@ -801,7 +801,7 @@
                 message.call, Outcome.CANCELLED, self.loop.time()
             )
 
-    @_take.register
+    @_process.register
     def _(self, message: QueuedMessage, sender: RouterId) -> None:
         pending = self.pending.get(message.call)
         if pending is None or pending.local:
@@ -814,11 +814,11 @@
                 OFFER_REFRESH_INTERVAL, self._offer, pending
             )
 
-    @_take.register
+    @_process.register
     def _(self, message: GrantMessage, sender: RouterId) -> None:
         self._resolve(grant_from_message(message, sender), sender)
 
-    @_take.register
+    @_process.register
     def _(self, message: RejectMessage, sender: RouterId) -> None:
         self._resolve(rejection_from_message(message, sender), sender)
 
@@ -850,14 +850,14 @@
                 pending.offer, pending.pool, decision, decider, now
             )
 
-    @_take.register
+    @_process.register
     def _(self, message: FirstByteMessage, sender: RouterId) -> None:
         pool_state = self.pools.get(message.pool)
         if pool_state is not None:
             pool_state.scheduler.begun(message.call, message.waited / 1000)
             self._schedule_decision(pool_state)
 
-    @_take.register
+    @_process.register
     def _(self, message: AttemptEndedMessage, sender: RouterId) -> None:
         pool_state = self.pools.get(message.pool)
         if pool_state is not None:
@@ -865,7 +865,7 @@
             pool_state.scheduler.ended(message.call, outcome, self.loop.time())
             self._schedule_decision(pool_state)
 
-    @_take.register
+    @_process.register
     def _(self, message: ActiveRequestsMessage, sender: RouterId) -> None:
         self._record_active(sender, message.pool, message.held)
 
--- a/carawayfold/coordination/scheduling/decision_statistics.py
+++ b/carawayfold/coordination/scheduling/decision_statistics.py
@@ -61,7 +61,7 @@
     alone : int
         Requests granted here since the process started for pools that this router
         doesn't lead.
-    unknown : int
+    unknown_pool_offers : int
         Offers for pools that this router doesn't have, since the last log lines.
     since : float
         Loop time of the last log lines.
@@ -71,7 +71,7 @@
         self.loop = asyncio.get_running_loop()
         self.pools: dict[PoolId, PoolStatistics] = {}
         self.alone = 0
-        self.unknown = 0
+        self.unknown_pool_offers = 0
         self.since = self.loop.time()
 
     def of(self, pool: PoolId) -> PoolStatistics:
@@ -101,10 +101,10 @@
                 self._write_one(
                     pool, statistics, accounts[pool], pool in leading, seconds
                 )
-        if self.unknown:
-            extra = {"offers": self.unknown, "seconds": round(seconds, 2)}
+        if self.unknown_pool_offers:
+            extra = {"offers": self.unknown_pool_offers, "seconds": round(seconds, 2)}
             logger.info("offered unknown pools", extra=extra)
-        self.unknown = 0
+        self.unknown_pool_offers = 0
         self.pools.clear()
         self.since = self.loop.time()
 
@@ -132,8 +132,8 @@
                 "spent_ms": round(statistics.time_spent * 1000, 1),
                 "late_ms": round(statistics.max_delay * 1000, 1),
                 "organisations": [
-                    [name, round(asked), round(granted)]
-                    for name, asked, granted in account.top_requesters(
+                    [name, round(requested), round(granted)]
+                    for name, requested, granted in account.top_requesters(
                         MAX_NAMED_ORGANISATIONS
                     )
                 ],
--- a/carawayfold/coordination/scheduling/endpoint_load.py
+++ b/carawayfold/coordination/scheduling/endpoint_load.py
@@ -72,15 +72,16 @@
     expected_speed : float
         Initial prefill rate in tokens per second, used until requests were observed.
     residence : float
-        Seconds that a request stays, on average.
+        Mean residence time of a request in seconds.
     failure_ratio : float
         Recent ratio of failed answers, 0 to 1, as of `failure_ratio_at`.
     failure_ratio_at : float
         Time of the last change of `failure_ratio`.
     suspended_until : float
-        Time from which it may be used again after it did not respond.
-    next_warm_up : float
-        Time of its next permitted grant while it warms up.
+        Time until which it is suspended because it did not respond, refused
+        connections, leaves or warms up.
+    next_warm_up_grant_at : float
+        Time from which the next grant is permitted while it warms up.
     consecutive_timeouts : int
         Attempts in a row that got no response.
     prefill_tokens : int
@@ -102,7 +103,7 @@
     failure_ratio: float = 0.0
     failure_ratio_at: float = 0.0
     suspended_until: float = 0.0
-    next_warm_up: float = 0.0
+    next_warm_up_grant_at: float = 0.0
     consecutive_timeouts: int = 0
     prefill_tokens: int = 0
     memory: int = 0
--- a/carawayfold/coordination/scheduling/offers.py
+++ b/carawayfold/coordination/scheduling/offers.py
@@ -65,7 +65,7 @@
     due : float
         Time at which the answer is due, or the first event of a stream.
     expires : float
-        Time at which its caller gives up.
+        Time at which its caller's timeout expires.
     avoid : frozenset of EndpointId
         Endpoints that were tried already.
     cached_at : EndpointId or None
@@ -73,7 +73,7 @@
     allowed : frozenset of DataCentreId or None
         Data centres in which it may run; None for any.
     rests : dict
-        Time from which each endpoint that asked its router for a pause may be used.
+        End of the backoff of each endpoint that requested one from its router.
     value_density : int
         Value of its answer per engine time, as a power of two.
     throttled_tokens : int
@@ -156,7 +156,7 @@
     EVACUATED = "evacuated"
     #: It warms up, which the router that granted it doesn't know.
     WARMING = "warming"
-    #: It asked this router for a pause.
+    #: It requested a backoff from this router.
     RESTING = "resting"
 
     @property
--- a/carawayfold/coordination/scheduling/placement.py
+++ b/carawayfold/coordination/scheduling/placement.py
@@ -41,8 +41,8 @@
 FULL_ENGINE_PENALTY = 0.01
 #: Penalty in seconds of an engine that fails all requests, in proportion for fewer.
 FAILURE_PENALTY = 2.0
-#: Penalty, in objectives of the request, of an endpoint that fails all requests
-#: without a prompt while the others fail none. A failed answer loses the request or
+#: Penalty of an endpoint that fails all requests without a prompt while the others fail
+#: none, as a multiple of the request's objective. A failed answer loses the request or
 #: costs a second attempt; a wait of one objective makes it late. A penalty in seconds
 #: would make requests with an objective of tenths of a second wait although endpoints
 #: with a single failed answer are idle.
--- a/carawayfold/coordination/scheduling/pool_assignment.py
+++ b/carawayfold/coordination/scheduling/pool_assignment.py
@@ -36,8 +36,8 @@
 class PoolAssignment:
     """Assignment of the endpoints of one service to pools.
 
-    Each endpoint goes to the pool for which its hash is highest, so that adding or
-    removing a pool moves only the endpoints of that pool. Results are cached between
+    Each endpoint is assigned to the pool for which its hash is highest, so that adding
+    or removing a pool moves only the endpoints of that pool. Results are cached between
     calls: a change of one endpoint needs no hashes for the others.
 
     Attributes
@@ -81,8 +81,8 @@
     weights : mapping
         Capacity of each pool in slots; pools get requests in proportion.
     prefix : str
-        Identifier of the shared prefix. All its requests go to one pool, which few
-        changes of the weights alter.
+        Identifier of the shared prefix. All its requests are assigned to one pool; a
+        change of the weights moves few prefixes.
     """
     return max(weights, key=lambda pool: _score(f"{pool}|{prefix}", weights[pool]))
 
@@ -112,7 +112,10 @@
 
 
 def _score(text: str, weight: int) -> float:
-    """Return a pseudo-random score that is the highest in proportion to `weight`."""
+    """Return a pseudo-random score.
+
+    The probability that it is the highest of several is proportional to `weight`.
+    """
     drawn = (_hash(text) + 1) / (HASH_RANGE + 1)
     return weight / -math.log(drawn) if drawn < 1 else math.inf
 
--- a/carawayfold/coordination/scheduling/scheduler.py
+++ b/carawayfold/coordination/scheduling/scheduler.py
@@ -87,7 +87,7 @@
 #: late before the request is rejected; allows for the error of predictions.
 PREDICTION_MARGIN = 0.15
 #: Fraction of its own prefill time by which a request may miss its objective.
-#: Prompts whose prefill takes most of the objective would never be served otherwise.
+#: Otherwise, prompts whose prefill takes most of the objective would never be served.
 OWN_PREFILL_FRACTION = 0.6
 #: Fraction of its total time that a request past its objective may wait for idle
 #: capacity.
@@ -151,7 +151,7 @@
     Attributes
     ----------
     organisation_not_behind : bool
-        Whether its organisation has got about as much as others.
+        Whether its organisation has been granted about as much as others.
     beyond_share : bool
         Whether it exceeds the share of its organisation.
     late : bool
@@ -161,7 +161,7 @@
     route_not_behind : bool
         Whether its route is served about as often as all routes.
     negated_density : int
-        Negative value of the answer per engine time, see `Offer.value_density`.
+        Value of the answer per engine time, negated; see `Offer.value_density`.
     due : float
         Monotonic seconds at which the answer is due.
     """
@@ -224,7 +224,7 @@
     loads : dict
         State of each endpoint.
     waiting : dict
-        Requests without an endpoint, in order of arrival.
+        Queued requests by identifier, in order of arrival.
     reported_at : dict
         Time of the last offer of each waiting request.
     placements : dict
@@ -359,7 +359,7 @@
         if outcome is not Outcome.CANCELLED:
             load.record_attempt(outcome is not Outcome.COMPLETE, now)
         if outcome is Outcome.SILENT:
-            self._suspend(load, now)
+            self._suspend_unresponsive(load, now)
         if outcome is Outcome.UNREACHABLE:
             duration = min(
                 MAX_SUSPENSION_DURATION,
@@ -368,12 +368,12 @@
             self.unreachable[active.router, load.endpoint.id] = now + duration
 
     def suspend(self, endpoint: EndpointId, now: float) -> None:
-        """Suspend an endpoint that takes no connections, or leaves."""
+        """Suspend an endpoint that refuses connections, or leaves."""
         load = self.loads.get(endpoint)
         if load is not None:
             load.suspended_until = now + UNAVAILABLE_SUSPENSION_DURATION
 
-    def _suspend(self, load: EndpointLoad, now: float) -> None:
+    def _suspend_unresponsive(self, load: EndpointLoad, now: float) -> None:
         duration = min(
             MAX_SUSPENSION_DURATION,
             MIN_SUSPENSION_DURATION * 2 ** min(load.consecutive_timeouts, 3),
@@ -396,7 +396,7 @@
             load.begin(active.call, 0.0)
 
     def expire(self, now: float) -> None:
-        """Drop requests that are no longer reported, and expired unreachability."""
+        """Remove unreported requests and expired entries of unreachable endpoints."""
         for call, offered_at in list(self.reported_at.items()):
             if now - offered_at > OFFER_TIMEOUT:
                 self.withdraw(call)
@@ -550,7 +550,7 @@
         rate = self.plan.warm_up_rate
         load = backlog.load
         if rate and load.endpoint.is_warming(now):
-            next_grant_at = max(load.next_warm_up, self.warm_up_allowed_from)
+            next_grant_at = max(load.next_warm_up_grant_at, self.warm_up_allowed_from)
             next_grant_at = min(next_grant_at, load.endpoint.warm_at)
             backlog.warm_up(1 / (WARM_UP_RATE_FRACTION * rate), next_grant_at - now)
 
@@ -583,7 +583,7 @@
         )
         load.add(active)
         load.prefixes.send(offer.prompt)
-        load.next_warm_up = now + candidate.backlog.grant_interval
+        load.next_warm_up_grant_at = now + candidate.backlog.grant_interval
         self.placements[offer.call] = load.endpoint.id
         self.usage.granted(offer.organisation, now, offer.charged_tokens)
         statistics = self.routes[offer.route]
--- a/carawayfold/coordination/slots/exchange.py
+++ b/carawayfold/coordination/slots/exchange.py
@@ -38,7 +38,7 @@
 
 logger = logbook.Logger(__name__)
 
-#: Seconds at least between two rounds of reports.
+#: Minimum seconds between two rounds of reports.
 MIN_FLUSH_INTERVAL = 0.002
 #: Seconds for which the new leader of a pool waits for the reports of live holders.
 REPORTS_TIMEOUT = 0.3
@@ -102,7 +102,7 @@
         self.clock = clock
         self.own = membership.own.router
         self.leads_all = settings.scheduling != "granted"
-        self.book = ServiceAccounts(self.own, rows, share_of)
+        self.accounts = ServiceAccounts(self.own, rows, share_of)
         self.reporter = Reporter(
             dispatcher,
             health,
@@ -152,7 +152,7 @@
         self.schedule()
 
     def _start_leading(self, pool: PoolSpec) -> None:
-        ledger = self.book.ledger(ServiceId(pool.service))
+        ledger = self.accounts.ledger(ServiceId(pool.service))
         fair = self.settings.scheduling != "first-come"
         granter = PoolGranter(pool, ledger, fair)
         self.led_pools[pool.id] = LedPool(granter, self.clock())
@@ -175,7 +175,7 @@
         frame.hello.router = own.router
         frame.hello.data_centre = own.data_centre
         frame.hello.incarnation = own.incarnation
-        self.book.write(frame, link.names, link.cursor)
+        self.accounts.write(frame, link.names, link.cursor)
         link.send(frame)
 
     def closed(self, link: Link) -> None:
@@ -189,32 +189,32 @@
         """Process a frame from a peer; an invalid one closes the link."""
         first = not link.hello_received
         if frame.HasField("hello"):
-            self._greet(link, frame.hello)
+            self._process_hello(link, frame.hello)
         router = RouterId(link.router)
         if self.links.get(router) is not link:
             link.close()
             return
         self.membership.record_contact(router, frame.stopping)
         try:
-            self._take(router, link, frame, first)
+            self._process_frame(router, link, frame, first)
         except (KeyError, ValueError) as error:
             logger.warning(
                 "invalid frame", extra={"peer": router, "reason": repr(error)}
             )
             link.close()
 
-    def _take(
+    def _process_frame(
         self, router: RouterId, link: Link, frame: peer_pb2.Frame, first: bool
     ) -> None:
         link.names.learn(frame)
         self._update_basis(router, frame.sent_ms)
         if not self.leads_all:
             for rows in frame.rows:
-                self.book.read(router, rows, link.names, first)
+                self.accounts.read(router, rows, link.names, first)
         for report in frame.reports:
-            self._take_report(router, link, report, frame.sent_ms)
+            self._process_report(router, link, report, frame.sent_ms)
         for grant in frame.grants:
-            self._take_grant(link, grant)
+            self._process_grant(link, grant)
         take_messages(frame.messages, self.on_datagram)
         if first:
             link.hello_received = True
@@ -223,7 +223,7 @@
         if frame.reports:
             self.grant()
 
-    def _greet(self, link: Link, hello: peer_pb2.Hello) -> None:
+    def _process_hello(self, link: Link, hello: peer_pb2.Hello) -> None:
         router = RouterId(hello.router)
         if router == self.own:
             return
@@ -235,7 +235,7 @@
         if self.membership.register_member(router, data_centre, hello.incarnation):
             for led_pool in self.led_pools.values():
                 led_pool.granter.drop(router)
-            self.book.restart(router)
+            self.accounts.restart(router)
         self.links[router] = link
 
     def _remove_peers(self, routers: list[RouterId]) -> None:
@@ -246,7 +246,7 @@
                 link.close()
             for led_pool in self.led_pools.values():
                 led_pool.granter.remove_failed(router)
-            self.book.drop(router)
+            self.accounts.drop(router)
         if routers:
             self.reassign()
 
@@ -294,7 +294,7 @@
             self.flush_timer.cancel()
             self.flush_timer = None
         self.last_flush = asyncio.get_running_loop().time()
-        self.book.enter_own()
+        self.accounts.enter_own()
         frames = {router: self.new_frame() for router in self.links}
         dirty, self.dirty = self.dirty, set()
         for pool_id in dirty:
@@ -302,7 +302,7 @@
         for router, frame in frames.items():
             if router != self.own and (everyone or frame.reports):
                 link = self.links[router]
-                self.book.write(frame, link.names, link.cursor)
+                self.accounts.write(frame, link.names, link.cursor)
                 link.send(frame)
         self._process_own_reports(frames[self.own])
         self.grant()
@@ -323,9 +323,9 @@
         loopback = self.links[self.own]
         loopback.names.learn(frame)
         for report in frame.reports:
-            self._take_report(self.own, loopback, report, frame.sent_ms)
+            self._process_report(self.own, loopback, report, frame.sent_ms)
 
-    def _take_report(
+    def _process_report(
         self, router: RouterId, link: Link, report: peer_pb2.PoolReport, sent_ms: int
     ) -> None:
         led_pool = self.led_pools.get(PoolId(link.names.name(report.pool)))
@@ -358,7 +358,7 @@
             if router == self.own:
                 link.names.learn(frame)
                 for grant in frame.grants:
-                    self._take_grant(link, grant)
+                    self._process_grant(link, grant)
             else:
                 link.send(frame)
 
@@ -392,7 +392,7 @@
             basis_ms=basis_ms,
         )
 
-    def _take_grant(self, link: Link, grant: peer_pb2.Grant) -> None:
+    def _process_grant(self, link: Link, grant: peer_pb2.Grant) -> None:
         pool = self.pools.get(PoolId(link.names.name(grant.pool)))
         if pool is None:
             return
@@ -418,7 +418,7 @@
         """Send a heartbeat with the changed service rows to every peer."""
         self._remove_peers(self.membership.expire())
         self.membership.remove_failed(FORGET_TIMEOUT)
-        self.book.tidy(self.membership.members)
+        self.accounts.tidy(self.membership.members)
         self.dirty.update(self.pools)
         self.flush(everyone=True)
 
--- a/carawayfold/coordination/slots/link_fleet.py
+++ b/carawayfold/coordination/slots/link_fleet.py
@@ -21,7 +21,7 @@
 
 
 class LinkFleet:
-    """Sends messages over the links between routers, without loss while a link lasts.
+    """Sends messages over the links between routers, without loss while a link is open.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
             self.send(router, message)
 
     def forward_recipients(self, sender: RouterId) -> list[RouterId]:
-        """Return no routers: nearby routers are all linked to each other."""
+        """Return no routers: messages reach all linked routers directly."""
         return []
 
 
--- a/carawayfold/coordination/slots/loads.py
+++ b/carawayfold/coordination/slots/loads.py
@@ -80,7 +80,7 @@
             self.exchange.grant()
 
     async def query(self, granter: PoolGranter, endpoint: EndpointId) -> None:
-        """Query one endpoint; without an answer its last report stays in force."""
+        """Query one endpoint; without an answer its last report remains valid."""
         known = self.view.endpoints.get(endpoint)
         if known is None:
             return
--- a/carawayfold/coordination/slots/pool.py
+++ b/carawayfold/coordination/slots/pool.py
@@ -363,7 +363,7 @@
             self._enter(organisation)
             return
         self._leave_backlog(organisation, router)
-        # Kept until all pending grants have been acknowledged.
+        # The entry is needed until all pending grants have been acknowledged.
         if not demand.pending_grants:
             del holder.demands[organisation]
 
--- a/carawayfold/coordination/slots/pools.py
+++ b/carawayfold/coordination/slots/pools.py
@@ -14,7 +14,7 @@
     from carawayfold.settings import Settings
     from carawayfold.state.configuration import Snapshot
 
-#: Endpoints of a pool at most; small pools distribute the work of granting.
+#: Maximum number of endpoints per pool; small pools distribute the work of granting.
 MAX_POOL_SIZE = 8
 #: Slots of an endpoint or endpoints of a pool where a baseline has no limit.
 UNLIMITED = 1_000_000
--- a/carawayfold/coordination/slots/service_accounts.py
+++ b/carawayfold/coordination/slots/service_accounts.py
@@ -97,7 +97,7 @@
             before = seen.pop((service, organisation), None)
             if before is None and first:
                 before = PeerRow(row.service, row.requests, born=row.born)
-            before = _same_row(before, row)
+            before = _previous_state(before, row)
             seen[service, organisation] = before
             self._enter(service, organisation, before, row, first)
 
@@ -105,7 +105,7 @@
         """Enter the changed rows of this router in the ledgers."""
         seen = self.seen[self.own]
         for service, organisation, row in self.rows.since(self.cursor.version):
-            before = _same_row(seen.pop((service, organisation), None), row)
+            before = _previous_state(seen.pop((service, organisation), None), row)
             seen[service, organisation] = before
             self._enter(service, organisation, before, row)
         self.cursor.version = self.rows.version
@@ -154,7 +154,7 @@
             ledger.drop_idle()
 
 
-def _same_row(before: PeerRow | None, row: peer_pb2.Row | LocalRow) -> PeerRow:
+def _previous_state(before: PeerRow | None, row: peer_pb2.Row | LocalRow) -> PeerRow:
     """Return the previous state of `row`, reset if the row was created anew since."""
     if before is None:
         return PeerRow(born=row.born)
--- a/carawayfold/protocol/datagrams.py
+++ b/carawayfold/protocol/datagrams.py
@@ -99,7 +99,8 @@
     prompt_tokens, output_tokens : int
         Tokens of the prompt, and estimated tokens of the answer.
     due, expires : int
-        Milliseconds from now until the answer is due and until its caller gives up.
+        Milliseconds from now until the answer is due and until its caller's timeout
+        expires.
     avoid : list of EndpointId
         Endpoints that were tried already.
     cached_at : EndpointId or None
@@ -109,7 +110,8 @@
     allowed : list of DataCentreId
         Data centres in which it may run; empty for any.
     rests : list of tuple
-        Endpoints that asked its router for a pause, each with the milliseconds left.
+        Endpoints that requested a backoff from its router, each with the milliseconds
+        left.
     throttled_tokens : int
         Tokens of its organisation that the router throttled since the previous offer.
     """
@@ -254,7 +256,7 @@
 
 
 class HubEntry(msgspec.Struct, array_like=True, frozen=True):
-    """State of one hub at another one; see `Heartbeat`."""
+    """State of one hub as known to the sender; see `Heartbeat`."""
 
     router: RouterId
     host: str
@@ -310,7 +312,7 @@
 
 
 class EndpointLostMessage(msgspec.Struct, array_like=True, tag=14, frozen=True):
-    """Failure of an endpoint: it accepts no connections and has dropped its own."""
+    """Failure of an endpoint: it refuses connections and has closed its open ones."""
 
     endpoint: EndpointId
 
@@ -322,7 +324,7 @@
 
 
 class LeavingChecksumMessage(msgspec.Struct, array_like=True, tag=16, frozen=True):
-    """Checksum of the endpoints known to have announced that; 0 for none."""
+    """Checksum of the endpoints known to have announced that they leave; 0 for none."""
 
     checksum: int
 
--- a/tests/coordination/fleet/test_fleet.py
+++ b/tests/coordination/fleet/test_fleet.py
@@ -121,7 +121,7 @@
         begun = fleet.loop.time()
         # Four offers remain unanswered, then the next router in rank is asked.
         await asyncio.sleep(0.1)
-        asking.unanswered(lost)
+        asking.add_suspect(lost)
         second = fleet.routers[asking.responsible(SUBJECTS[0])]
 
         def leads():
@@ -138,7 +138,7 @@
     async def scenario(fleet):
         suspected = leader(fleet)
         asking = next(item for item in fleet.routers.values() if not item.own.hub)
-        asking.unanswered(suspected)
+        asking.add_suspect(suspected)
         passed_over = asking.responsible(SUBJECTS[0]) != suspected
         leads = asking.leader(SUBJECTS[0]) == suspected
         fleet.routers[suspected].send(asking.own.router, HubListMessage("dc-0", []))
--- a/tests/coordination/scheduling/test_coordinator.py
+++ b/tests/coordination/scheduling/test_coordinator.py
@@ -71,7 +71,7 @@
 
     def __init__(self, network, name, names):
         self.suspects = Suspects()
-        self.heard_at = {}
+        self.last_contact = {}
         self.doubted = []
         self.network = network
         self.own = Member(name, "north", 1, 0.0)
@@ -92,15 +92,15 @@
 
     def responsible(self, subject):
         until = self.suspects.until
-        if self.suspects.alone() and self.leader(subject) in until:
+        if self.suspects.is_isolated() and self.leader(subject) in until:
             return self.own.router
         return self.membership.responsible(subject, excluded=until)
 
-    def unanswered(self, router):
-        self.suspects.note(router, 0.0)
+    def add_suspect(self, router):
+        self.suspects.add(router, 0.0)
 
     def is_seen_since(self, router, since):
-        return self.heard_at.get(router, -math.inf) > since
+        return self.last_contact.get(router, -math.inf) > since
 
     def confirm_failure(self, router):
         self.doubted.append(router)
@@ -165,7 +165,7 @@
     assert isinstance(play(work), Granted)
 
 
-def test_a_router_decides_for_itself_when_the_decider_is_cut_off():
+def test_a_router_decides_locally_when_the_leader_is_cut_off():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"])
@@ -180,7 +180,7 @@
     assert share == 0.5
 
 
-def test_the_next_in_line_decides_when_the_decider_is_cut_off():
+def test_the_next_router_in_rank_decides_when_the_leader_is_cut_off():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c", "d"])
@@ -215,7 +215,7 @@
         asking = next(name for name in made if name != first)
         fleet = made[asking].fleet
         if heard:
-            fleet.heard_at[first] = math.inf
+            fleet.last_contact[first] = math.inf
         placing = asyncio.ensure_future(
             made[asking].place(request(made[asking], "x"), "model/0")
         )
@@ -234,7 +234,7 @@
         first = decider(made)
         network.cut.add(first)
         asking = next(name for name in made if name != first)
-        made[asking].fleet.heard_at[first] = math.inf
+        made[asking].fleet.last_contact[first] = math.inf
         placing = asyncio.ensure_future(
             made[asking].place(request(made[asking], "x"), "model/0")
         )
@@ -275,7 +275,7 @@
     assert play(work) == {}
 
 
-def test_a_router_that_gets_no_answer_decides_alone_after_two_others():
+def test_a_router_that_gets_no_answer_from_two_others_decides_locally():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c", "d"])
@@ -291,7 +291,7 @@
     assert sent == 0
 
 
-def test_a_withdrawn_request_frees_what_it_was_granted():
+def test_a_withdrawn_request_releases_its_grant():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=1, slots=1)
@@ -397,7 +397,7 @@
     assert isinstance(play(work), Rejected)
 
 
-def test_a_service_without_endpoints_is_refused_at_once():
+def test_a_request_to_a_service_without_endpoints_is_rejected_at_once():
     async def work():
         made = coordinators(SimulatedNetwork(), ["a"])
         return await made["a"].place(request(made["a"], "x"), "nothing/0")
@@ -441,7 +441,7 @@
     assert play(work) == (0, 0, 0.0, 0.0)
 
 
-def test_a_decision_for_a_incarnation_that_is_over_names_no_endpoint():
+def test_a_decision_for_an_ended_incarnation_names_no_endpoint():
     async def work():
         table = EndpointTable()
         table.put(endpoint("e-0", incarnation=1000))
@@ -456,7 +456,7 @@
     assert play(work) is None
 
 
-def test_engines_whose_throughput_nobody_stated_are_used():
+def test_engines_without_a_stated_throughput_are_used():
     async def work():
         table = EndpointTable()
         table.put(endpoint("e-0"))
@@ -481,7 +481,7 @@
     return coordinator, table
 
 
-def test_an_evacuated_data_centre_gets_nothing():
+def test_an_evacuated_data_centre_gets_no_requests():
     async def work():
         coordinator, table = two_data_centre_coordinator({"north"})
         decisions = [
@@ -497,7 +497,7 @@
     assert play(work) == ({"e-south"}, {"e-north", "e-south"})
 
 
-def test_the_pools_of_others_stay_while_a_data_centre_is_evacuated():
+def test_an_evacuation_does_not_change_the_pools_of_other_endpoints():
     async def work():
         table = EndpointTable()
         for number in range(4 * MAX_POOL_SIZE):
@@ -523,7 +523,7 @@
     assert play(work)
 
 
-def test_a_service_whose_data_centres_are_all_evacuated_is_refused_at_once():
+def test_a_request_is_rejected_at_once_if_all_data_centres_are_evacuated():
     async def work():
         coordinator, _ = two_data_centre_coordinator({"north", "south"})
         return await coordinator.place_with_fallback(request(coordinator, "x"), "model")
@@ -572,7 +572,7 @@
     assert coordinator.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
 
 
-def test_requests_kept_to_data_centres_go_to_pools_that_have_them():
+def test_restricted_requests_are_sent_to_pools_in_their_data_centres():
     async def work():
         coordinator, _ = two_data_centre_coordinator()
         south = coordinator.weights_for("model", {"south"})
@@ -623,7 +623,7 @@
             made[first].pools.clear()
         asking = next(name for name in names if name != first)
         fleet = made[asking].fleet
-        fleet.heard_at[first] = math.inf
+        fleet.last_contact[first] = math.inf
         await made[asking].place(request(made[asking], "x"), "model/1")
         return first in fleet.suspects.until
 
@@ -693,7 +693,7 @@
 
 
 def test_requests_of_a_removed_pool_go_to_another_and_no_router_is_considered_failed():
-    """The leaders read of a removed endpoint, and so of a removed pool, earlier."""
+    """The leaders have read earlier that an endpoint, and so a pool, was removed."""
 
     async def work():
         names = ["a", "b", "c", "d"]
--- a/tests/coordination/scheduling/test_decision_statistics.py
+++ b/tests/coordination/scheduling/test_decision_statistics.py
@@ -36,7 +36,7 @@
 def test_offers_for_unknown_pools_are_logged_once():
     async def work():
         made = SchedulingStatistics()
-        made.unknown = 3
+        made.unknown_pool_offers = 3
         made.write({}, set())
         made.write({}, set())
 
--- a/tests/coordination/scheduling/test_scheduler.py
+++ b/tests/coordination/scheduling/test_scheduler.py
@@ -69,7 +69,7 @@
     assert granted(decide(pool, 1.0, offer("r.0.1", "topic", 5000, now=1.0))) == {}
 
 
-def test_a_request_that_would_be_late_there_goes_to_an_idle_engine():
+def test_a_request_that_would_wait_too_long_is_sent_to_an_idle_engine():
     pool = engine_with_queued_prefix(prefill_tokens=200_000)
     decided = granted(decide(pool, 1.0, offer("r.0.1", "topic", 5000, now=1.0)))
     assert decided == {"r.0.1": "e-1"}
@@ -88,7 +88,7 @@
     assert pool.loads["e-0"].prefill_tokens == 30_001
 
 
-def test_the_next_request_goes_when_the_one_before_has_begun():
+def test_the_next_request_is_granted_when_the_previous_one_has_begun():
     pool = scheduler()
     offers = [offer(f"r.0.{n}", f"t-{n}", 1, 30_000, now=1.0) for n in range(2)]
     first = next(iter(granted(decide(pool, 1.0, *offers))))
@@ -203,7 +203,7 @@
     assert granted(decide(pool, 1.2, offer("b.0.1", now=1.2, router="b")))
 
 
-def test_failing_engines_get_less():
+def test_failing_engines_get_fewer_requests():
     pool = scheduler(endpoints=2)
     now = 1.0
     places = []
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("waiting", [400])
-def test_a_long_queue_is_looked_at_in_bounded_steps(waiting, monkeypatch):
+def test_a_long_queue_is_examined_in_bounded_steps(waiting, monkeypatch):
     pool = scheduler(slots=1)
     decide(pool, 1.0, offer("r.0.0", "t", 1, 500_000, now=1.0))
     for number in range(1, waiting):
@@ -313,7 +313,7 @@
     assert part > 0.97
 
 
-def test_nothing_is_sent_to_an_endpoint_that_has_ended():
+def test_nothing_is_sent_to_a_suspended_endpoint():
     made = scheduler(2)
     made.suspend("e-0", 0.0)
     offers = [offer(f"r.1.{number}", f"t-{number}") for number in range(3)]
@@ -321,7 +321,7 @@
     assert set(decisions.values()) == {"e-1"}
 
 
-def test_an_endpoint_that_a_router_reports_as_leaving_gets_nothing_more():
+def test_an_endpoint_that_a_router_reports_as_leaving_gets_no_requests():
     made = scheduler(2)
     first = granted(decide(made, 0.0, offer("r.1.0")))["r.1.0"]
     made.ended("r.1.0", Outcome.LEAVING, 0.01)
@@ -335,7 +335,7 @@
 # then rejected with a retry delay of 0.3 s, and so on at each retry.
 
 
-def test_a_request_is_refused_at_once_if_all_endpoints_rest_beyond_its_objective():
+def test_a_request_is_rejected_if_all_suspensions_outlast_its_objective():
     made = scheduler(2)
     made.suspend("e-0", 0.0)
     made.suspend("e-1", 0.5)
@@ -345,7 +345,7 @@
     assert 3.5 * 0.75 <= refused.retry_after <= 3.5 * 1.25
 
 
-def test_a_request_waits_for_an_endpoint_that_rests_within_its_objective():
+def test_a_request_waits_for_a_suspension_that_ends_within_its_objective():
     made = scheduler(2)
     made.suspend("e-0", 0.0)
     made.suspend("e-1", 0.0)
@@ -354,7 +354,7 @@
     assert granted(made.decide(4.01)).keys() == {"r.1.0"}
 
 
-def test_a_request_that_has_tried_all_endpoints_is_refused_at_once():
+def test_a_request_that_has_tried_all_endpoints_is_rejected_at_once():
     made = scheduler(1)
     request = offer("r.1.0", avoid=frozenset({"e-0"}))
     assert rejected(decide(made, 0.0, request)).keys() == {"r.1.0"}
@@ -398,7 +398,7 @@
     assert (decision.endpoint, decision.copy_source) == ("south", None)
 
 
-def test_a_request_that_is_allowed_nowhere_is_refused_at_once():
+def test_a_request_that_is_allowed_nowhere_is_rejected_at_once():
     made = two_data_centres()
     made.offer(offer(now=1.0, allowed=frozenset({"east"})), 1.0)
     (decision,) = made.decide(1.0)
@@ -428,7 +428,7 @@
     assert max(used) - min(used) <= 1
 
 
-def test_an_endpoint_that_came_back_is_used_before_others_are_full():
+def test_an_added_endpoint_is_used_before_others_are_full():
     made = add_application_endpoints(Scheduler(WINDOW))
     for load in made.loads.values():
         load.residence = 0.02
@@ -440,7 +440,7 @@
     assert len(made.loads["back"].active) == 1
 
 
-def test_engines_that_have_nothing_to_read_fill_evenly():
+def test_engines_with_empty_prefill_queues_fill_evenly():
     made = scheduler(endpoints=3, slots=16)
     for number in range(9):
         call = f"r.0.{number}"
