--- a/carawayfold/coordination/fleet/directory.py
+++ b/carawayfold/coordination/fleet/directory.py
@@ -21,8 +21,8 @@
 
 #: Seconds between reads of the routers' entries. A router that starts writes its own
 #: entry before it reads the others and sends them a heartbeat, so of two routers that
-#: start together the one that reads later finds the other. The periodic reads make up
-#: for lost datagrams.
+#: start together, the later reader finds the entry of the other. The periodic reads
+#: make up for lost datagrams.
 DIRECTORY_INTERVAL = 15.0
 #: Seconds between reads for each known router: the fleet as a whole reads the entries
 #: at most once a second.
--- a/carawayfold/coordination/fleet/fleet.py
+++ b/carawayfold/coordination/fleet/fleet.py
@@ -116,7 +116,7 @@
         self.leaders: dict[str, RouterId] = {}
         #: Responsible router of each subject; cleared when members or suspects change.
         self.responsible_routers: dict[str, RouterId] = {}
-        #: Loop time of each router's last datagram or new entry, to forget silent ones.
+        #: Loop time of each router's last datagram or new entry, to remove silent ones.
         self.last_contact: dict[RouterId, float] = {}
         #: Set once the routers' entries have been read from the store.
         self.listed = asyncio.Event()
--- a/carawayfold/coordination/scheduling/endpoint_load.py
+++ b/carawayfold/coordination/scheduling/endpoint_load.py
@@ -83,7 +83,7 @@
     next_warm_up_grant_at : float
         Time from which the next grant is permitted while it warms up.
     consecutive_timeouts : int
-        Attempts in a row that got no response.
+        Consecutive attempts without a response.
     prefill_tokens : int
         Tokens that wait to be prefilled.
     memory : int
--- a/carawayfold/coordination/slots/reporting.py
+++ b/carawayfold/coordination/slots/reporting.py
@@ -79,7 +79,7 @@
     Parameters
     ----------
     dispatcher : Dispatcher
-        Requests held here.
+        Requests held by this router.
     health : EndpointHealthTracker
         Health of endpoints.
     data_centre : str
--- a/carawayfold/protocol/datagrams.py
+++ b/carawayfold/protocol/datagrams.py
@@ -60,7 +60,8 @@
         Milliseconds since its records of the operators' commands were last complete,
         read from the store or from a peer.
     lagging : bool
-        Whether it is overloaded, so that other routers should lead its pools.
+        Whether it cannot keep up with its work, so that other routers should lead its
+        pools.
     """
 
     data_centre: DataCentreId
--- a/tests/coordination/scheduling/test_account.py
+++ b/tests/coordination/scheduling/test_account.py
@@ -29,7 +29,7 @@
         self.made = scheduler(endpoints=2, slots=4, throughput=100_000)
         self.made.overloaded = True
         self.spread = spread
-        self.held = {
+        self.admission = {
             (name, number): AdmissionControl()
             for name, count in spread.items()
             for number in range(count)
@@ -55,22 +55,24 @@
     def _offer_all(self, step, now):
         for name, count in self.spread.items():
             for number in range(IN_STEP):
-                held = self.held[name, number % count]
+                admission = self.admission[name, number % count]
                 call = f"{name}-{number % count}.0.{step}-{number}"
                 request = offer(call, name, now=now, organisation=name, due=now + 0.3)
-                if held.reject(request, POOL, now) is not None:
+                if admission.reject(request, POOL, now) is not None:
                     continue
-                request.throttled_tokens = held.take_throttled_tokens(request, POOL)
+                request.throttled_tokens = admission.take_throttled_tokens(
+                    request, POOL
+                )
                 if (step * 7 + number) % 20 in self.lost:
                     continue
-                self.waiting[call] = request, held
+                self.waiting[call] = request, admission
                 self.made.offer(request, now)
 
     def _decide(self, step, now):
         for decision in self.made.decide(now):
-            request, held = self.waiting.pop(decision.call)
+            request, admission = self.waiting.pop(decision.call)
             if (step * 3) % 20 not in self.lost:
-                held.record_decision(request, POOL, decision, "decider", now)
+                admission.record_decision(request, POOL, decision, "decider", now)
             if isinstance(decision, Granted):
                 self.made.begun(decision.call, 0.02)
                 self.ends.append((decision.call, now + RUNNING))
--- a/tests/coordination/scheduling/test_admission.py
+++ b/tests/coordination/scheduling/test_admission.py
@@ -22,47 +22,47 @@
 
 def limited(part, retry_after=1.0, now=0.0, **other):
     """Return the admission control of a router after a rejection with such a limit."""
-    held = AdmissionControl()
+    admission = AdmissionControl()
     answer = Rejected("r.1.x", "late", retry_after, admitted_fraction=part)
-    held.record_decision(offer("r.1.x", **other), POOL, answer, "decider", now)
-    return held
+    admission.record_decision(offer("r.1.x", **other), POOL, answer, "decider", now)
+    return admission
 
 
 @pytest.mark.parametrize("part", [0.0, 0.1, 0.5, 0.9])
 def test_the_admitted_fraction_of_an_organisation_is_offered(part):
-    held = limited(part)
-    offered = sum(held.reject(item, POOL, 0.1) is None for item in many_offers())
+    admission = limited(part)
+    offered = sum(admission.reject(item, POOL, 0.1) is None for item in many_offers())
     assert offered / 1000 == pytest.approx(part, abs=0.04)
 
 
 def test_other_organisations_pools_and_priorities_are_not_throttled():
-    held = limited(0.0)
+    admission = limited(0.0)
     others = [
         (offer("r.1.1", organisation="birch"), POOL),
         (offer("r.1.1"), "model/1"),
         (offer("r.1.1", priority=0), POOL),
     ]
-    assert [held.reject(item, pool, 0.1) for item, pool in others] == [None] * 3
+    assert [admission.reject(item, pool, 0.1) for item, pool in others] == [None] * 3
 
 
 def test_a_limit_expires_after_the_leader_stopped_answering():
-    held = limited(0.0)
-    assert held.reject(offer(), POOL, ADMISSION_DURATION) is not None
-    assert held.reject(offer(), POOL, ADMISSION_DURATION + 0.01) is None
-    held.expire(ADMISSION_DURATION + 0.01)
-    assert not held.limits
+    admission = limited(0.0)
+    assert admission.reject(offer(), POOL, ADMISSION_DURATION) is not None
+    assert admission.reject(offer(), POOL, ADMISSION_DURATION + 0.01) is None
+    admission.expire(ADMISSION_DURATION + 0.01)
+    assert not admission.limits
 
 
 def test_a_grant_removes_the_limit():
-    held = limited(0.0)
+    admission = limited(0.0)
     granted = Granted("r.1.y", "e-0")
-    held.record_decision(offer("r.1.y"), POOL, granted, "decider", 0.1)
-    assert held.reject(offer(), POOL, 0.2) is None
+    admission.record_decision(offer("r.1.y"), POOL, granted, "decider", 0.1)
+    assert admission.reject(offer(), POOL, 0.2) is None
 
 
 def test_rejections_name_the_decider_and_spread_the_retry_delays():
-    held = limited(0.0, retry_after=2.0)
-    refusals = [held.reject(item, POOL, 0.1) for item in many_offers(100)]
+    admission = limited(0.0, retry_after=2.0)
+    refusals = [admission.reject(item, POOL, 0.1) for item in many_offers(100)]
     waits = [item.retry_after for item in refusals]
     assert {item.decider for item in refusals} == {"decider"}
     assert min(waits) >= 1.5
@@ -71,11 +71,11 @@
 
 
 def test_throttled_tokens_are_reported_once_with_the_next_offer():
-    held = limited(0.0)
+    admission = limited(0.0)
     for item in many_offers(3):
-        held.reject(item, POOL, 0.1)
-    assert held.take_throttled_tokens(offer(), POOL) == 3 * offer().charged_tokens
-    assert held.take_throttled_tokens(offer(), POOL) == 0
+        admission.reject(item, POOL, 0.1)
+    assert admission.take_throttled_tokens(offer(), POOL) == 3 * offer().charged_tokens
+    assert admission.take_throttled_tokens(offer(), POOL) == 0
 
 
 def flooded(loads, seconds=5.0, step=0.02, room=40):
--- a/tests/coordination/scheduling/test_coordinator.py
+++ b/tests/coordination/scheduling/test_coordinator.py
@@ -72,7 +72,7 @@
     def __init__(self, network, name, names):
         self.suspects = Suspects()
         self.last_contact = {}
-        self.doubted = []
+        self.confirmed = []
         self.network = network
         self.own = Member(name, "north", 1, 0.0)
         loop = asyncio.get_running_loop()
@@ -103,7 +103,7 @@
         return self.last_contact.get(router, -math.inf) > since
 
     def confirm_failure(self, router):
-        self.doubted.append(router)
+        self.confirmed.append(router)
 
     def fallback_share(self):
         return 1.0 / len(self.live())
@@ -198,15 +198,15 @@
         await made[asking].place(request(made[asking], "y"), "model/0")
         again = loop.time() - begun
         scheduler = made[second].pools["model/0"].scheduler
-        held = sum(len(load.active) for load in scheduler.loads.values())
-        doubted = set(made[second].fleet.doubted)
-        return held, waited > again, doubted == {first}, scheduler.plan.share
+        active = sum(len(load.active) for load in scheduler.loads.values())
+        confirmed = set(made[second].fleet.confirmed)
+        return active, waited > again, confirmed == {first}, scheduler.plan.share
 
     assert play(work) == (2, True, True, 0.25)
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_a_late_leader_with_heartbeats_is_not_considered_failed(heard):
+@pytest.mark.parametrize("seen", [True, False])
+def test_a_late_leader_with_heartbeats_is_not_considered_failed(seen):
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c"])
@@ -214,7 +214,7 @@
         network.cut.add(first)
         asking = next(name for name in made if name != first)
         fleet = made[asking].fleet
-        if heard:
+        if seen:
             fleet.last_contact[first] = math.inf
         placing = asyncio.ensure_future(
             made[asking].place(request(made[asking], "x"), "model/0")
@@ -224,7 +224,7 @@
         await placing
         return first in fleet.suspects.until
 
-    assert simulate(work) is not heard
+    assert simulate(work) is not seen
 
 
 def test_offers_to_a_late_leader_are_sent_at_growing_intervals():
@@ -344,7 +344,7 @@
             )
 
 
-def test_a_request_that_its_pool_cannot_serve_in_time_goes_to_another_one():
+def test_a_request_that_its_pool_cannot_serve_in_time_is_offered_to_another():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=2 * MAX_POOL_SIZE)
@@ -367,7 +367,7 @@
     assert placed_there
 
 
-def test_a_further_pool_copies_the_prompt_from_the_first_one():
+def test_a_fallback_pool_copies_the_prompt_from_the_first_one():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=2 * MAX_POOL_SIZE)
@@ -648,20 +648,20 @@
         for coordinator in made.values():
             coordinator.run_periodic_tasks()
         await asyncio.sleep(ACTIVE_REPORT_INTERVAL)
-        held = Counter()
+        expected = Counter()
         known = Counter()
         for coordinator in made.values():
             places = (placed.endpoint for placed in coordinator.placed.values())
-            held.update(place for place in places if place in coordinator.endpoints)
+            expected.update(place for place in places if place in coordinator.endpoints)
             for pool in coordinator.weights["model"]:
                 if coordinator.decides_for(pool):
                     loads = coordinator.pools[pool].scheduler.loads
                     known.update({x: len(load.active) for x, load in loads.items()})
-        return held, +known
+        return expected, +known
 
-    held, known = simulate(work)
-    assert sum(held.values()) >= MAX_POOL_SIZE - 1
-    assert known == held
+    expected, known = simulate(work)
+    assert sum(expected.values()) >= MAX_POOL_SIZE - 1
+    assert known == expected
 
 
 def test_an_offer_for_a_pool_that_the_leader_lacks_is_answered():
@@ -679,11 +679,11 @@
         for name, coordinator in made.items():
             take = coordinator.take
 
-            def note(datagram, name=name, take=take):
+            def record(datagram, name=name, take=take):
                 answered.append((datagram.sender, name))
                 take(datagram)
 
-            coordinator.take = note
+            coordinator.take = record
         asked = asyncio.ensure_future(asking.place(request(asking, "x"), "model/1"))
         await asyncio.sleep(OFFER_RETRY_INTERVALS[0] / 2)
         asked.cancel()
@@ -705,14 +705,14 @@
                 made[name].refresh(table_of(MAX_POOL_SIZE), routes())
         decided = []
         for number in range(12):
-            wanted = request(asking, number)
-            decided.append(await asking.place_with_fallback(wanted, "model"))
-        alone = {item.basis.decider for item in decided} - deciding
-        return decided, alone, asking.fleet.suspects.until
+            offered = request(asking, number)
+            decided.append(await asking.place_with_fallback(offered, "model"))
+        other_deciders = {item.basis.decider for item in decided} - deciding
+        return decided, other_deciders, asking.fleet.suspects.until
 
-    decided, alone, suspected = simulate(work)
+    decided, other_deciders, suspected = simulate(work)
     assert all(isinstance(item, Granted) for item in decided)
-    assert not alone
+    assert not other_deciders
     assert not suspected
 
 
--- a/tests/coordination/scheduling/test_pool_assignment.py
+++ b/tests/coordination/scheduling/test_pool_assignment.py
@@ -7,7 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from carawayfold.coordination.scheduling import pool_assignment as division_module
+from carawayfold.coordination.scheduling import (
+    pool_assignment as pool_assignment_module,
+)
 from carawayfold.coordination.scheduling.pool_assignment import (
     MAX_POOL_SIZE,
     PoolAssignment,
@@ -36,14 +38,14 @@
         assert pools_by(pool_assignment, numbers) == pools_by(PoolAssignment(), numbers)
 
 
-def test_a_change_of_one_endpoint_costs_no_draws_for_the_others(monkeypatch):
+def test_a_change_of_one_endpoint_needs_no_hashes_for_the_others(monkeypatch):
     drawn = []
 
     def draw(text):
         drawn.append(text)
         return len(text)
 
-    monkeypatch.setattr(division_module, "_hash", draw)
+    monkeypatch.setattr(pool_assignment_module, "_hash", draw)
     pool_assignment = PoolAssignment()
     pools_by(pool_assignment, range(5 * MAX_POOL_SIZE - 1))
     drawn.clear()
@@ -71,7 +73,7 @@
     assert 0.70 < chosen[PoolId("model/1")] / 4000 < 0.80
 
 
-def test_a_pool_without_endpoints_gets_nothing():
+def test_a_pool_without_endpoints_gets_no_requests():
     weights = {PoolId("model/0"): 0, PoolId("model/1"): 8}
     assert {choose_pool(weights, f"p-{number}") for number in range(200)} == {"model/1"}
 
@@ -86,7 +88,7 @@
     assert moved < 60
 
 
-def test_a_further_pool_is_one_that_was_not_asked():
+def test_a_fallback_pool_is_one_that_was_not_tried():
     weights = {f"model/{number}": 2 for number in range(3)}
     first = choose_pool(weights, "topic")
     second = choose_fallback_pool(weights, [first], "r.1.1")
@@ -95,7 +97,7 @@
     assert choose_fallback_pool(weights, list(weights), "r.1.1") is None
 
 
-def test_requests_of_one_prefix_spread_over_all_further_pools():
+def test_requests_of_one_prefix_spread_over_all_fallback_pools():
     weights = {f"model/{number}": 2 for number in range(5)}
     first = choose_pool(weights, "topic")
     drawn = Counter(
--- a/tests/coordination/scheduling/test_scheduler.py
+++ b/tests/coordination/scheduling/test_scheduler.py
@@ -229,7 +229,7 @@
     assert "r.0.2" in granted(pool.decide(2.3))
 
 
-def test_a_new_scheduler_learns_what_runs_from_the_routers():
+def test_a_new_scheduler_learns_active_requests_from_the_routers():
     pool = scheduler(slots=1)
     active = ActiveRequest("r.0.7", "r", 0, 100, 1.0, 1.0, begun=True)
     pool.record_active("e-0", active)
@@ -255,15 +255,15 @@
     decide(pool, 1.0, offer("r.0.0", "t", 1, 500_000, now=1.0))
     for number in range(1, waiting):
         pool.offer(offer(f"r.0.{number}", f"t{number}", now=1.01, due=90.0), 1.01)
-    looked = []
+    examined = []
     original = Scheduler._decide_one
     monkeypatch.setattr(
         Scheduler,
         "_decide_one",
-        lambda self, *args: looked.append(1) or original(self, *args),
+        lambda self, *args: examined.append(1) or original(self, *args),
     )
     pool.decide(1.02 + REVIEW_INTERVAL)
-    assert len(looked) <= QUEUE_HEAD_LENGTH
+    assert len(examined) <= QUEUE_HEAD_LENGTH
 
 
 def run_application_load(
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_requests_do_not_wait_beside_idle_endpoints_that_fail_now_and_then(seed):
+def test_requests_do_not_wait_beside_idle_endpoints_that_fail_occasionally(seed):
     part, most = run_application_load(5.0, seed)
     assert most < 4 * 6
     assert part > 0.97
--- a/tests/coordination/slots/test_pool.py
+++ b/tests/coordination/slots/test_pool.py
@@ -101,7 +101,7 @@
     assert len(pool.decide()) == 5
 
 
-def test_urgent_work_of_an_organisation_goes_first():
+def test_urgent_work_of_an_organisation_is_granted_first():
     pool = granter(pool_spec(slots=1, endpoints=1))
     early, late = Holder("router-1", pool), Holder("router-2", pool)
     early.report({ALDER: 1}, now=0.0)
