--- a/tests/coordination/scheduling/test_coordinator.py
+++ b/tests/coordination/scheduling/test_coordinator.py
@@ -71,8 +71,8 @@
 
     def __init__(self, network, name, names):
         self.suspects = Suspects()
-        self.heard_at = {}
-        self.doubted = []
+        self.last_contact = {}
+        self.confirmed = []
         self.network = network
         self.own = Member(name, "north", 1, 0.0)
         loop = asyncio.get_running_loop()
@@ -92,18 +92,18 @@
 
     def responsible(self, subject):
         until = self.suspects.until
-        if self.suspects.alone() and self.leader(subject) in until:
+        if self.suspects.is_isolated() and self.leader(subject) in until:
             return self.own.router
         return self.membership.responsible(subject, excluded=until)
 
-    def unanswered(self, router):
-        self.suspects.note(router, 0.0)
+    def add_suspect(self, router):
+        self.suspects.add(router, 0.0)
 
     def is_seen_since(self, router, since):
-        return self.heard_at.get(router, -math.inf) > since
+        return self.last_contact.get(router, -math.inf) > since
 
     def confirm_failure(self, router):
-        self.doubted.append(router)
+        self.confirmed.append(router)
 
     def fallback_share(self):
         return 1.0 / len(self.live())
@@ -165,7 +165,7 @@
     assert isinstance(play(work), Granted)
 
 
-def test_a_router_decides_for_itself_when_the_decider_is_cut_off():
+def test_a_router_decides_locally_when_the_leader_is_cut_off():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"])
@@ -180,7 +180,7 @@
     assert share == 0.5
 
 
-def test_the_next_in_line_decides_when_the_decider_is_cut_off():
+def test_the_next_router_in_rank_decides_when_the_leader_is_cut_off():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c", "d"])
@@ -198,15 +198,15 @@
         await made[asking].place(request(made[asking], "y"), "model/0")
         again = loop.time() - begun
         scheduler = made[second].pools["model/0"].scheduler
-        held = sum(len(load.active) for load in scheduler.loads.values())
-        doubted = set(made[second].fleet.doubted)
-        return held, waited > again, doubted == {first}, scheduler.plan.share
+        active = sum(len(load.active) for load in scheduler.loads.values())
+        confirmed = set(made[second].fleet.confirmed)
+        return active, waited > again, confirmed == {first}, scheduler.plan.share
 
     assert play(work) == (2, True, True, 0.25)
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_a_late_leader_with_heartbeats_is_not_considered_failed(heard):
+@pytest.mark.parametrize("seen", [True, False])
+def test_a_late_leader_with_heartbeats_is_not_considered_failed(seen):
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c"])
@@ -214,8 +214,8 @@
         network.cut.add(first)
         asking = next(name for name in made if name != first)
         fleet = made[asking].fleet
-        if heard:
-            fleet.heard_at[first] = math.inf
+        if seen:
+            fleet.last_contact[first] = math.inf
         placing = asyncio.ensure_future(
             made[asking].place(request(made[asking], "x"), "model/0")
         )
@@ -224,7 +224,7 @@
         await placing
         return first in fleet.suspects.until
 
-    assert simulate(work) is not heard
+    assert simulate(work) is not seen
 
 
 def test_offers_to_a_late_leader_are_sent_at_growing_intervals():
@@ -234,7 +234,7 @@
         first = decider(made)
         network.cut.add(first)
         asking = next(name for name in made if name != first)
-        made[asking].fleet.heard_at[first] = math.inf
+        made[asking].fleet.last_contact[first] = math.inf
         placing = asyncio.ensure_future(
             made[asking].place(request(made[asking], "x"), "model/0")
         )
@@ -275,7 +275,7 @@
     assert play(work) == {}
 
 
-def test_a_router_that_gets_no_answer_decides_alone_after_two_others():
+def test_a_router_that_gets_no_answer_from_two_others_decides_locally():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b", "c", "d"])
@@ -291,7 +291,7 @@
     assert sent == 0
 
 
-def test_a_withdrawn_request_frees_what_it_was_granted():
+def test_a_withdrawn_request_releases_its_grant():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=1, slots=1)
@@ -344,7 +344,7 @@
             )
 
 
-def test_a_request_that_its_pool_cannot_serve_in_time_goes_to_another_one():
+def test_a_request_that_its_pool_cannot_serve_in_time_is_offered_to_another():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=2 * MAX_POOL_SIZE)
@@ -367,7 +367,7 @@
     assert placed_there
 
 
-def test_a_further_pool_copies_the_prompt_from_the_first_one():
+def test_a_fallback_pool_copies_the_prompt_from_the_first_one():
     async def work():
         network = SimulatedNetwork()
         made = coordinators(network, ["a", "b"], endpoints=2 * MAX_POOL_SIZE)
@@ -397,7 +397,7 @@
     assert isinstance(play(work), Rejected)
 
 
-def test_a_service_without_endpoints_is_refused_at_once():
+def test_a_request_to_a_service_without_endpoints_is_rejected_at_once():
     async def work():
         made = coordinators(SimulatedNetwork(), ["a"])
         return await made["a"].place(request(made["a"], "x"), "nothing/0")
@@ -441,7 +441,7 @@
     assert play(work) == (0, 0, 0.0, 0.0)
 
 
-def test_a_decision_for_a_incarnation_that_is_over_names_no_endpoint():
+def test_a_decision_for_an_ended_incarnation_names_no_endpoint():
     async def work():
         table = EndpointTable()
         table.put(endpoint("e-0", incarnation=1000))
@@ -456,7 +456,7 @@
     assert play(work) is None
 
 
-def test_engines_whose_throughput_nobody_stated_are_used():
+def test_engines_without_a_stated_throughput_are_used():
     async def work():
         table = EndpointTable()
         table.put(endpoint("e-0"))
@@ -481,7 +481,7 @@
     return coordinator, table
 
 
-def test_an_evacuated_data_centre_gets_nothing():
+def test_an_evacuated_data_centre_gets_no_requests():
     async def work():
         coordinator, table = two_data_centre_coordinator({"north"})
         decisions = [
@@ -497,7 +497,7 @@
     assert play(work) == ({"e-south"}, {"e-north", "e-south"})
 
 
-def test_the_pools_of_others_stay_while_a_data_centre_is_evacuated():
+def test_an_evacuation_does_not_change_the_pools_of_other_endpoints():
     async def work():
         table = EndpointTable()
         for number in range(4 * MAX_POOL_SIZE):
@@ -523,7 +523,7 @@
     assert play(work)
 
 
-def test_a_service_whose_data_centres_are_all_evacuated_is_refused_at_once():
+def test_a_request_is_rejected_at_once_if_all_data_centres_are_evacuated():
     async def work():
         coordinator, _ = two_data_centre_coordinator({"north", "south"})
         return await coordinator.place_with_fallback(request(coordinator, "x"), "model")
@@ -572,7 +572,7 @@
     assert coordinator.scheduler.warm_up_allowed_from == 20.0 + TAKEOVER_DELAY
 
 
-def test_requests_kept_to_data_centres_go_to_pools_that_have_them():
+def test_restricted_requests_are_sent_to_pools_in_their_data_centres():
     async def work():
         coordinator, _ = two_data_centre_coordinator()
         south = coordinator.weights_for("model", {"south"})
@@ -623,7 +623,7 @@
             made[first].pools.clear()
         asking = next(name for name in names if name != first)
         fleet = made[asking].fleet
-        fleet.heard_at[first] = math.inf
+        fleet.last_contact[first] = math.inf
         await made[asking].place(request(made[asking], "x"), "model/1")
         return first in fleet.suspects.until
 
@@ -648,20 +648,20 @@
         for coordinator in made.values():
             coordinator.run_periodic_tasks()
         await asyncio.sleep(ACTIVE_REPORT_INTERVAL)
-        held = Counter()
+        expected = Counter()
         known = Counter()
         for coordinator in made.values():
             places = (placed.endpoint for placed in coordinator.placed.values())
-            held.update(place for place in places if place in coordinator.endpoints)
+            expected.update(place for place in places if place in coordinator.endpoints)
             for pool in coordinator.weights["model"]:
                 if coordinator.decides_for(pool):
                     loads = coordinator.pools[pool].scheduler.loads
                     known.update({x: len(load.active) for x, load in loads.items()})
-        return held, +known
+        return expected, +known
 
-    held, known = simulate(work)
-    assert sum(held.values()) >= MAX_POOL_SIZE - 1
-    assert known == held
+    expected, known = simulate(work)
+    assert sum(expected.values()) >= MAX_POOL_SIZE - 1
+    assert known == expected
 
 
 def test_an_offer_for_a_pool_that_the_leader_lacks_is_answered():
@@ -679,11 +679,11 @@
         for name, coordinator in made.items():
             take = coordinator.take
 
-            def note(datagram, name=name, take=take):
+            def record(datagram, name=name, take=take):
                 answered.append((datagram.sender, name))
                 take(datagram)
 
-            coordinator.take = note
+            coordinator.take = record
         asked = asyncio.ensure_future(asking.place(request(asking, "x"), "model/1"))
         await asyncio.sleep(OFFER_RETRY_INTERVALS[0] / 2)
         asked.cancel()
@@ -693,7 +693,7 @@
 
 
 def test_requests_of_a_removed_pool_go_to_another_and_no_router_is_considered_failed():
-    """The leaders read of a removed endpoint, and so of a removed pool, earlier."""
+    """The leaders have read earlier that an endpoint, and so a pool, was removed."""
 
     async def work():
         names = ["a", "b", "c", "d"]
@@ -705,14 +705,14 @@
                 made[name].refresh(table_of(MAX_POOL_SIZE), routes())
         decided = []
         for number in range(12):
-            wanted = request(asking, number)
-            decided.append(await asking.place_with_fallback(wanted, "model"))
-        alone = {item.basis.decider for item in decided} - deciding
-        return decided, alone, asking.fleet.suspects.until
+            offered = request(asking, number)
+            decided.append(await asking.place_with_fallback(offered, "model"))
+        other_deciders = {item.basis.decider for item in decided} - deciding
+        return decided, other_deciders, asking.fleet.suspects.until
 
-    decided, alone, suspected = simulate(work)
+    decided, other_deciders, suspected = simulate(work)
     assert all(isinstance(item, Granted) for item in decided)
-    assert not alone
+    assert not other_deciders
     assert not suspected
 
 
