--- a/carawayfold/coordination/requests/at_most_once.py
+++ b/carawayfold/coordination/requests/at_most_once.py
@@ -29,7 +29,8 @@
 #: Bytes of the longest body that is stored for retries.
 MAX_STORED_BODY_BYTES = 64 * 1024
 
-#: Asks the router that holds a claim, of a key with a digest, for the outcome.
+#: Asks the router that made a claim for the outcome of its request. Called with the
+#: claim and the digest of its key.
 AskOwner: TypeAlias = Callable[[Claim, bytes], Awaitable[peer_pb2.OutcomeReply]]
 
 
@@ -41,7 +42,7 @@
     claims : Claims
         Claims of this router and of the fleet.
     ask_owner : callable
-        Asks the router that holds a claim for the outcome.
+        Asks the router that made a claim for the outcome of its request.
     attempt : callable
         Sends a call to an endpoint and returns the answer.
     """
@@ -62,8 +63,8 @@
         Raises
         ------
         Refusal
-            The request failed, or its key is held by another one; `ran` states whether
-            it ran.
+            The request failed, or another request has claimed its key; `ran` states
+            whether the request ran.
         """
         digest = key_digest(call.organisation, call.request.idempotency_key)
         fingerprint = call.request.fingerprint
--- a/carawayfold/coordination/requests/attempts.py
+++ b/carawayfold/coordination/requests/attempts.py
@@ -50,7 +50,8 @@
     call_id : CallId
         Identifies the grant to the scheduler.
     copy_source : Endpoint or None
-        Endpoint from which `endpoint` is to copy cached memory.
+        Endpoint from which `endpoint` copies the cached beginning of the prompt; None
+        for no copy.
     """
 
     call: ForwardedCall
@@ -82,9 +83,9 @@
     forwarding_body : bool
         Whether the body is forwarded as it arrives, since it exceeds the buffer.
     stopped : bool
-        Whether this router stopped it since its content was quarantined.
+        Whether this router stopped it because its content was quarantined.
     withdrawn : BlockReason or None
-        Why this router withdrew it before it was sent, if it did.
+        Why this router withdrew it before it was sent; None if it did not.
     """
 
     def __init__(self, forwarder: Forwarder, request: AttemptRequest) -> None:
@@ -133,16 +134,18 @@
         return self._complete()
 
     def stop(self) -> None:
-        """Stop the attempt, since its content was quarantined."""
+        """Stop the attempt because its content was quarantined."""
         if self.connection is not None and not self.exchange.done.done():
             self.stopped = True
             self.forwarder.http.fail(self.connection, "its content is refused")
 
-    def withdraw(self, bar: BlockReason) -> None:
+    def withdraw(self, block_reason: BlockReason) -> None:
         """Stop the attempt unless the endpoint may have received the request."""
         if not self.sent and not self.exchange.done.done():
-            self.withdrawn = bar
-            self.forwarder.http.fail(self.connection, f"its endpoint: {bar.value}")
+            self.withdrawn = block_reason
+            self.forwarder.http.fail(
+                self.connection, f"its endpoint: {block_reason.value}"
+            )
 
     def _start(self) -> None:
         call = self.call
@@ -251,8 +254,8 @@
             self.call.incoming.send(b"".join(self.body))
 
     def _forward_events(self, data: bytes) -> None:
-        whole = self.events.feed(data)
-        if not whole:
+        complete_events = self.events.feed(data)
+        if not complete_events:
             return
         waited = self.loop.time() - self.started
         if self.first_event_delay is None:
@@ -260,11 +263,11 @@
         self.forwarder.coordinator.begun(self.call_id, waited)
         if not self.call.attempts.answer_started:
             self.forwarder.begin(self.call, self.answer_head)
-        self.call.incoming.send(whole)
+        self.call.incoming.send(complete_events)
         self.call.resume_after = self.events.last
 
     def _is_final(self) -> bool:
-        """Return whether the answer goes to the caller instead of causing a retry."""
+        """Return whether the answer is sent to the caller and causes no retry."""
         answer_head = self.answer_head
         if answer_head.not_run:
             return False
--- a/carawayfold/coordination/requests/calls.py
+++ b/carawayfold/coordination/requests/calls.py
@@ -45,7 +45,7 @@
 
 #: Attempts for one request, the first one included.
 MAX_TOTAL_ATTEMPTS = 3
-#: Retries that a budget accumulates at most.
+#: Most retries that a budget accumulates.
 MAX_SAVED_RETRIES = 10.0
 
 
@@ -90,7 +90,7 @@
 
     @property
     def content(self) -> ContentId:
-        """Return the digest of the request's content, equal for each retry of it."""
+        """Return the digest of the request's content, equal for all its retries."""
         request = self.request
         method, path = request.method.encode(), request.path.encode()
         return content_id(self.organisation, method, path, request.body)
@@ -101,7 +101,10 @@
         return bool(self.request.idempotency_key)
 
     def handle_disconnect(self) -> None:
-        """Cancel the request of a disconnected caller, unless its answer is stored."""
+        """Cancel the request of a disconnected caller if it has no idempotency key.
+
+        With a key it continues, since a retry with the key gets the stored answer.
+        """
         if not self.has_idempotency_key:
             self.task.cancel()
 
@@ -187,7 +190,7 @@
     claims : Claims
         Claims on idempotency keys.
     ask_owner : callable
-        Asks the router that holds a claim for the outcome of its request.
+        Asks the router that made a claim for the outcome of its request.
     containment : Containment
         Rejects requests with contents under which endpoints crash.
 
@@ -361,7 +364,7 @@
     def _check_answer(
         self, call: Call, endpoint: EndpointId, answer: CompleteAnswer
     ) -> CompleteAnswer:
-        """Return `answer` if it goes to the caller, and record the endpoint's health.
+        """Return `answer` if it is for the caller, and record the endpoint's health.
 
         Raises
         ------
--- a/carawayfold/coordination/requests/claims.py
+++ b/carawayfold/coordination/requests/claims.py
@@ -56,11 +56,11 @@
     fingerprint : bytes
         Fingerprint of the request.
     holder : asyncio.Future of Claim
-        Resolved with the claim that holds the key, which may be another one.
+        Resolved with the claim that holds the key: this one or an earlier one.
     won_at : float
         Loop time at which it was won; 0 before.
     appended : bool
-        Whether it is in an append that is in flight or succeeded.
+        Whether an append with it is in flight or has succeeded.
     """
 
     digest: bytes
@@ -92,8 +92,8 @@
 
     Attributes
     ----------
-    book : ClaimTable
-        The claims that the log holds, as far as it has been read.
+    claim_table : ClaimTable
+        The claims in the part of the log that has been read.
     answers : AnswerStore
         Stored answers to requests of this router, by digest.
     caught_up : bool
@@ -113,7 +113,7 @@
     def __init__(self, log: LogClient, own: Member, retention: float) -> None:
         self.log = log
         self.own = own
-        self.book = ClaimTable(retention)
+        self.claim_table = ClaimTable(retention)
         self.answers = AnswerStore(MAX_STORED_ANSWER_BYTES)
         self.caught_up = False
         self.append_interval = MIN_APPEND_INTERVAL
@@ -130,7 +130,7 @@
 
     def find(self, digest: bytes) -> Claim | None:
         """Return the claim that holds a key, None if the log read so far has none."""
-        return self.book.find(digest, asyncio.get_running_loop().time())
+        return self.claim_table.find(digest, asyncio.get_running_loop().time())
 
     async def claim(
         self, digest: bytes, fingerprint: bytes, timeout: float
@@ -149,7 +149,7 @@
         Returns
         -------
         OwnClaim or Claim
-            The own claim if it won, else the claim that holds the key.
+            The claim of this router if it won, else the claim that holds the key.
 
         Raises
         ------
@@ -196,7 +196,7 @@
     def end(self, claim: OwnClaim, end: ClaimEnd) -> None:
         """Queue the end of a won claim for the next batch."""
         self.running.pop(claim.digest, None)
-        held = self.book.claims.get(claim.digest)
+        held = self.claim_table.claims.get(claim.digest)
         if held is not None and held.owner == claim.identity:
             held.end = end
         self._queue_end(claim.digest, claim.identity, end)
@@ -228,7 +228,7 @@
             await asyncio.sleep(self.append_interval)
 
     def limit_append_rate(self, routers: int) -> None:
-        """Set the append interval so that `routers` together keep the fleet's limit."""
+        """Set the append interval so that `routers` routers keep the fleet's limit."""
         self.append_interval = max(
             MIN_APPEND_INTERVAL, routers / MAX_FLEET_APPENDS_PER_SECOND
         )
@@ -277,7 +277,7 @@
             )
             return
         now = asyncio.get_running_loop().time()
-        decisions = zip(batch.claims, self.book.apply(batch, now), strict=True)
+        decisions = zip(batch.claims, self.claim_table.apply(batch, now), strict=True)
         for record, (identity, held) in decisions:
             if identity.incarnation != self.own.incarnation:
                 continue
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -80,7 +80,7 @@
     AttemptEnd.UNREACHABLE: Outcome.UNREACHABLE,
 }
 #: Log event for a grant that is returned unused, by its reason.
-BARRED_GRANT_EVENTS = {
+BLOCKED_GRANT_EVENTS = {
     BlockReason.LEAVING: "grant returned: endpoint is leaving",
     BlockReason.EVACUATED: "grant returned: data centre of the endpoint is evacuated",
     BlockReason.WARMING: "grant returned: endpoint is warming up",
@@ -130,9 +130,9 @@
     grant_wait : float
         Seconds for which the request waited for its last grant.
     copy_source : EndpointId or None
-        Endpoint from which the granted one is to copy cached memory.
+        Endpoint from which the granted one copies the cached beginning of the prompt.
     basis : Basis or None
-        Knowledge on which the last endpoint was granted.
+        State of the registrations on which the last grant was decided.
     decider : RouterId or None
         Router that made the last scheduling decision.
     cached_content : ContentId or None
@@ -202,7 +202,7 @@
 
     Attributes
     ----------
-    patience : dict of RouteId to WaitEstimator
+    wait_estimators : dict of RouteId to WaitEstimator
         Per route, estimates from a caller's remaining time how long it has waited.
     calls : dict of ForwardedCall to asyncio.Task
         Requests in flight with the tasks that handle them.
@@ -235,9 +235,9 @@
         self.loop = asyncio.get_running_loop()
         #: Routes of the configuration in force; None until one is known.
         self.route_index: RouteIndex | None = None
-        #: Source of that configuration and the time since which it is in force.
+        #: Source of that configuration, and the time at which it came into force.
         self.in_force: ActiveConfiguration | None = None
-        self.patience: dict[RouteId, WaitEstimator] = {}
+        self.wait_estimators: dict[RouteId, WaitEstimator] = {}
         self.calls: dict[ForwardedCall, asyncio.Task[None]] = {}
 
     @property
@@ -276,7 +276,7 @@
         left = DEFAULT_REQUEST_TIMEOUT if parsed.time_left is None else parsed.time_left
         # The time that a retrying caller has already waited counts against the
         # objective.
-        waited = self.patience.setdefault(route.id, WaitEstimator()).waited(left)
+        waited = self.wait_estimators.setdefault(route.id, WaitEstimator()).waited(left)
         allowed = allowed_data_centres(route, organisation, routes, self.regions)
         return ForwardedCall(
             incoming=incoming,
@@ -412,7 +412,7 @@
         call.tried.add(granted.endpoint)
         self.coordinator.rests.sent(granted.endpoint, self.loop.time())
         call.copy_source = granted.copy_source
-        copy_source = self._check_donor(call, granted)
+        copy_source = self._check_copy_source(call, granted)
         request = AttemptRequest(call, endpoint, granted.call, copy_source)
         attempt = call.attempt = Attempt(self, request)
         outcome = Outcome.CANCELLED
@@ -435,30 +435,32 @@
     def _check_granted(self, call: ForwardedCall, granted: Granted) -> Endpoint | None:
         """Return the granted endpoint, or None after returning an unusable grant."""
         endpoint = self.coordinator.endpoints.get(granted.endpoint)
-        bar = (
+        block_reason = (
             self.coordinator.find_block_reason(endpoint, granted)
             if endpoint is not None
             else None
         )
         allowed = endpoint is not None and self._is_allowed(call, endpoint)
-        if allowed and bar is None:
+        if allowed and block_reason is None:
             return endpoint
-        if bar is not BlockReason.RESTING:
-            # A resting endpoint may be granted again: the next offer states when its
-            # rest ends.
+        if block_reason is not BlockReason.RESTING:
+            # An endpoint in backoff may be granted again later: the next offer states
+            # when its backoff ends.
             call.skipped.add(granted.endpoint)
         outcome = Outcome.CANCELLED
-        if bar is not None:
-            outcome = bar.outcome
-            self._log_barred(call, granted, endpoint, bar)
+        if block_reason is not None:
+            outcome = block_reason.outcome
+            self._log_blocked_grant(call, granted, endpoint, block_reason)
         self.coordinator.ended(granted.call, outcome)
         return None
 
     def _is_allowed(self, call: ForwardedCall, endpoint: Endpoint) -> bool:
         return call.allowed is None or endpoint.data_centre in call.allowed
 
-    def _check_donor(self, call: ForwardedCall, granted: Granted) -> Endpoint | None:
-        """Return the endpoint to copy cached memory from, None if it is not usable."""
+    def _check_copy_source(
+        self, call: ForwardedCall, granted: Granted
+    ) -> Endpoint | None:
+        """Return the endpoint to copy the cached prompt from, None if it is unusable."""
         copy_source = (
             self.coordinator.endpoints.get(granted.copy_source)
             if granted.copy_source
@@ -637,19 +639,22 @@
 
     # Logs
 
-    def _log_barred(
+    def _log_blocked_grant(
         self,
         call: ForwardedCall,
         granted: Granted,
         endpoint: Endpoint,
-        bar: BlockReason,
+        block_reason: BlockReason,
     ) -> None:
-        """Log and count a grant made on less recent knowledge than this router has."""
-        self.metrics.barred_grants[bar.value] += 1
+        """Log and count a grant that is returned because its endpoint is blocked.
+
+        The scheduling router decided on less recent knowledge than this router has.
+        """
+        self.metrics.barred_grants[block_reason.value] += 1
         since = self.coordinator.leaving_since.get(endpoint.name, self.loop.time())
         known = self.coordinator.basis()
         logger.info(
-            BARRED_GRANT_EVENTS[bar],
+            BLOCKED_GRANT_EVENTS[block_reason],
             extra={
                 "request": call.parsed.id,
                 "endpoint": endpoint.id,
--- a/carawayfold/coordination/requests/relay.py
+++ b/carawayfold/coordination/requests/relay.py
@@ -85,7 +85,7 @@
     started_at : float
         Loop time at which the attempt started.
     failure_reason : str
-        Why the answer is unusable; empty if it is not.
+        Why the answer is unusable; empty if it is usable.
     """
 
     def __init__(
@@ -178,13 +178,13 @@
             if not self.answer_started:
                 raise
             self.failure_reason = self.failure_reason or (
-                "" if self._resumable() else str(error)
+                "" if self._endpoint_can_resume() else str(error)
             )
         finally:
             if not exchange.done.done() or exchange.done.cancelled():
                 self.http.cancel(self.connection)
 
-    def _resumable(self) -> bool:
+    def _endpoint_can_resume(self) -> bool:
         return self.scanner is not None and RESUME_HEADER in self.head.headers
 
     async def _await_exchange(self, done: asyncio.Future[None]) -> None:
--- a/carawayfold/coordination/requests/retries.py
+++ b/carawayfold/coordination/requests/retries.py
@@ -12,8 +12,9 @@
 if TYPE_CHECKING:
     from carawayfold.state.routes import Route
 
-#: Sends of a request that certainly did not run it; one more, and it is refused.
-MAX_NOT_RUN_SENDS = 2
+#: Attempts that certainly did not run the request after which it may be retried; it is
+#: refused after one more.
+MAX_NOT_RUN_ATTEMPTS = 2
 
 
 class AttemptEnd(Enum):
@@ -22,7 +23,7 @@
     The values appear in logs and in the details of refusals.
     """
 
-    #: The answer was complete and went to the caller.
+    #: The complete answer was sent to the caller.
     COMPLETE = "whole"
     #: The endpoint stated that it did not run the request.
     REJECTED = "rejected"
@@ -68,7 +69,7 @@
 
     A request that may have run is retried only if its route is repeatable.
     """
-    if attempts.not_run > MAX_NOT_RUN_SENDS:
+    if attempts.not_run > MAX_NOT_RUN_ATTEMPTS:
         return False
     if not attempts.may_have_run:
         return True
--- a/carawayfold/coordination/requests/shedding.py
+++ b/carawayfold/coordination/requests/shedding.py
@@ -14,8 +14,8 @@
 
 logger = logbook.Logger(__name__)
 
-#: Log lines a second on such refusals, since logging more would add to the overload.
-#: The next line states how many were suppressed.
+#: Most log lines a second for such refusals, since logging more would add to the
+#: overload. The next line states how many were suppressed.
 MAX_LINES_PER_SECOND = 20
 
 
