--- a/carawayfold/coordination/containment/containment.py
+++ b/carawayfold/coordination/containment/containment.py
@@ -67,7 +67,7 @@
 EXPIRY_INTERVAL = 10.0
 #: Least seconds between two transfers of all verdicts to the same peer.
 MIN_SYNC_INTERVAL = 1.0
-#: Endpoints whose end is attributed to a harmful content that are kept.
+#: Most endpoints remembered whose crash is attributed to a harmful content.
 MAX_ATTRIBUTED_ENDPOINTS = 2000
 #: Seconds for which a lost endpoint is not announced again.
 LOST_RETENTION_DURATION = 60.0
@@ -92,7 +92,7 @@
 
 
 class Containment:
-    """The verdicts on contents that one router knows and issues.
+    """The verdicts on contents that one router has received or issued.
 
     Parameters
     ----------
@@ -103,7 +103,7 @@
     endpoint_activity : EndpointActivity
         Time of the last byte from each endpoint.
     probe : callable
-        Returns the result of connecting to an address.
+        Probes an address and returns the result.
     records : VerdictStore
         Stores verdicts so that they survive all routers.
     spawn : callable
@@ -131,8 +131,8 @@
         self.on_lost = on_lost
         self.loop = asyncio.get_running_loop()
         self.quarantine = Quarantine()
-        self.book = CrashTable()
-        self.departures = Deregistrations()
+        self.crash_table = CrashTable()
+        self.deregistrations = Deregistrations()
         self.reports = CrashReports(
             fleet,
             endpoint_activity,
@@ -141,7 +141,7 @@
             self._on_endpoint_lost,
             spawn,
         )
-        self.well_runs = SuccessfulRuns()
+        self.successful_runs = SuccessfulRuns()
         #: Endpoints that ended while serving a harmful content, with that content.
         self.attributed: dict[EndpointId, ContentId] = {}
         #: Endpoints that have ended, with the loop time of the report.
@@ -162,9 +162,9 @@
     def endpoint_removed(self, endpoint: Endpoint) -> None:
         """Record that an endpoint is no longer registered."""
         now = self.loop.time()
-        self.departures.note(endpoint, now)
+        self.deregistrations.note(endpoint, now)
         if not endpoint.leaving:
-            self.well_runs.watch(now)
+            self.successful_runs.watch(now)
 
     def _on_endpoint_lost(self, endpoint: EndpointId) -> None:
         """Broadcast that an endpoint has ended."""
@@ -181,7 +181,7 @@
             return False
         self.lost[endpoint] = now
         self.on_lost(endpoint)
-        self.well_runs.watch(now)
+        self.successful_runs.watch(now)
         return True
 
     # Checks of requests
@@ -195,7 +195,7 @@
         Raises
         ------
         Refusal
-            ``harmful-request``; this call has not been executed.
+            ``harmful-request``; no endpoint has run the request in this call.
         """
         if not self.quarantine.has_contents_of(call.organisation):
             return
@@ -207,7 +207,7 @@
             raise Refusal(kind, detail, retry_after=math.ceil(held))
 
     def is_suspected(self, call: RequestIdentity) -> bool:
-        """Return whether a request is suspected and so is sent once a call."""
+        """Return whether a request has a suspected content and must not be retried."""
         if not self.quarantine.has_contents_of(call.organisation):
             return False
         return self.quarantine.is_suspected(call.content)
@@ -216,7 +216,7 @@
         """Record a successful request if the record can affect a verdict."""
         now = self.loop.time()
         concerned = self.quarantine.has_contents_of(call.organisation)
-        if concerned or self.well_runs.should_record(body, now):
+        if concerned or self.successful_runs.should_record(body, now):
             self.record_content_success(call.content, call.organisation)
 
     def record_content_success(
@@ -224,7 +224,7 @@
     ) -> None:
         """Record that a content was served without a crash."""
         now = self.loop.time()
-        self.well_runs.note(content, now)
+        self.successful_runs.note(content, now)
         if self.quarantine.is_suspected(content):
             self._report_success(content, organisation, now)
 
@@ -279,7 +279,7 @@
         self.reports.resend()
         if now - self.last_expiry_at >= EXPIRY_INTERVAL:
             self._expire(now)
-        for content, case in list(self.book.cases.items()):
+        for content, case in list(self.crash_table.cases.items()):
             if (
                 len(case.crashes) >= MIN_SUSPECT_CRASHES
                 or content in self.quarantine.entries
@@ -288,11 +288,11 @@
 
     def _expire(self, now: float) -> None:
         self.last_expiry_at = now
-        self.book.expire(now)
+        self.crash_table.expire(now)
         self.quarantine.expire(now)
         self.recorder.forget()
-        for endpoint, last_byte_at in list(self.lost.items()):
-            if now - last_byte_at > LOST_RETENTION_DURATION:
+        for endpoint, reported_at in list(self.lost.items()):
+            if now - reported_at > LOST_RETENTION_DURATION:
                 del self.lost[endpoint]
 
     # Messages of peers
@@ -327,14 +327,14 @@
         crash = Crash(
             message.endpoint, sender, at, message.refused, message.begun, at - lasted
         )
-        if not self.book.note(message.content, message.organisation, crash):
+        if not self.crash_table.note(message.content, message.organisation, crash):
             return
         self._update_verdict(message.content)
 
     @_handle_message.register
     def _(self, message: SuccessMessage, sender: RouterId) -> None:
         at = self.loop.time() - message.age / 1000
-        self.book.record_success(message.content, message.organisation, at)
+        self.crash_table.record_success(message.content, message.organisation, at)
         self._lower_verdict(message.content, at)
 
     @_handle_message.register
@@ -369,7 +369,7 @@
         """Issue a verdict if this router is responsible and the verdict has changed."""
         if not self._is_responsible(content):
             return
-        case = self.book.cases[content]
+        case = self.crash_table.cases[content]
         ended = self._ended_endpoints(content)
         if ended == case.judged_weights:
             return
@@ -410,24 +410,25 @@
         while len(self.attributed) > MAX_ATTRIBUTED_ENDPOINTS:
             del self.attributed[next(iter(self.attributed))]
         now = self.loop.time()
-        for content, case in list(self.book.cases.items()):
+        for content, case in list(self.crash_table.cases.items()):
             if content != verdict.content and case.is_likely_harmless(now):
                 self._lower_verdict(content, now)
 
     def _ended_endpoints(self, content: ContentId) -> dict[EndpointId, float]:
         """Return the endpoints that ended while serving a content, with weights.
 
-        Crashes attributed to a harmful content count against no companion of it.
+        Crashes attributed to another content do not count if this one is likely
+        harmless.
         """
-        case = self.book.cases.get(content)
+        case = self.crash_table.cases.get(content)
         if case is None:
             return {}
-        companion = case.is_likely_harmless(self.loop.time())
+        likely_harmless = case.is_likely_harmless(self.loop.time())
         return {
             name: crash.weight
             for name, crash in case.crashes.items()
-            if self.departures.has_crashed(crash, self.registered(crash.endpoint))
-            and not (companion and self._is_attributed_elsewhere(name, content))
+            if self.deregistrations.has_crashed(crash, self.registered(crash.endpoint))
+            and not (likely_harmless and self._is_attributed_elsewhere(name, content))
         }
 
     def _is_attributed_elsewhere(
@@ -438,14 +439,14 @@
     def _succeeded_recently(self, content: ContentId) -> bool:
         """Return whether a recent successful run of a content is known."""
         now = self.loop.time()
-        case = self.book.cases.get(content)
+        case = self.crash_table.cases.get(content)
         if case is not None and now - case.last_success_at < SUCCESS_EVIDENCE_DURATION:
             return True
-        return self.well_runs.last(content, now) is not None
+        return self.successful_runs.last(content, now) is not None
 
     def _first_crash_at(self, content: ContentId) -> float:
         """Return the loop time of the first crash that counts against a content."""
-        case = self.book.cases.get(content)
+        case = self.crash_table.cases.get(content)
         times = [crash.at for crash in case.crashes.values()] if case else []
         return min(times, default=self.loop.time())
 
@@ -490,18 +491,21 @@
         )
         if entry.level is Level.LIFTED:
             # Not counted as a successful run: that would allow five more crashes.
-            self.book.clear(entry.content)
+            self.crash_table.clear(entry.content)
             self.reports.forget(entry.content, entry.since)
             return True
         if entry.level is Level.CLEARED:
-            self.book.record_success(entry.content, entry.organisation, entry.since)
+            self.crash_table.record_success(
+                entry.content, entry.organisation, entry.since
+            )
             self.reports.forget(entry.content, entry.since)
             return True
-        at = self.well_runs.last(entry.content, self.loop.time())
+        at = self.successful_runs.last(entry.content, self.loop.time())
         if at is not None:
             self._report_success(entry.content, entry.organisation, at)
         if entry.level is Level.QUARANTINED:
-            # A request that is in flight may still succeed and clear a rested content.
+            # At level RESTED a request in flight is not stopped, since it may still
+            # succeed and clear the content.
             self.on_quarantined(entry.content)
             self._attribute_crashes(entry)
         return True
--- a/carawayfold/coordination/containment/crash_reports.py
+++ b/carawayfold/coordination/containment/crash_reports.py
@@ -39,7 +39,7 @@
 #: milliseconds after its connections, and a router whose event loop is late sees no
 #: answer.
 PROBE_DELAYS = (0.003, 0.05, 0.25, 1.0)
-#: Reports kept for sending to a newly responsible router.
+#: Most reports stored for sending to a newly responsible router.
 MAX_REPORTS = 1000
 #: Seconds for which a report is sent to a newly responsible router.
 REPORT_DURATION = 900.0
@@ -114,7 +114,7 @@
     endpoint_activity : EndpointActivity
         Time of the last byte from each endpoint.
     probe : callable
-        Returns the result of connecting to an address.
+        Probes an address and returns the result.
     on_own_report : callable
         Called with the reports on contents that this router is responsible for.
     on_lost : callable
@@ -142,7 +142,7 @@
         #: Lost attempts at endpoints that are being probed.
         self.probed: dict[EndpointId, list[LostAttempt]] = {}
         #: Reports by content and endpoint, the oldest first.
-        self.kept: OrderedDict[tuple[ContentId, EndpointId], PendingReport] = (
+        self.reports: OrderedDict[tuple[ContentId, EndpointId], PendingReport] = (
             OrderedDict()
         )
 
@@ -154,19 +154,22 @@
             self.spawn(self._probe_endpoint(loss.endpoint))
 
     async def _probe_endpoint(self, endpoint: Endpoint) -> None:
-        begun = self.loop.time()
+        probing_started = self.loop.time()
         for delay in PROBE_DELAYS:
             await asyncio.sleep(delay)
-            reach = await self.probe(endpoint.address)
-            alive = self.endpoint_activity.last_byte_at.get(endpoint.id, 0.0) > begun
-            if alive or reach is ProbeResult.REFUSED:
+            probe_result = await self.probe(endpoint.address)
+            alive = (
+                self.endpoint_activity.last_byte_at.get(endpoint.id, 0.0)
+                > probing_started
+            )
+            if alive or probe_result is ProbeResult.REFUSED:
                 break
         losses = self.probed.pop(endpoint.id)
         logger.info(
             "probed an endpoint after lost connections",
             extra={
                 "endpoint": endpoint.id,
-                "reach": reach.value,
+                "reach": probe_result.value,
                 "heard_since": alive,
                 "contents": len({loss.content for loss in losses}),
             },
@@ -175,16 +178,16 @@
             return
         # A proxy in front of an endpoint may accept connections although the endpoint
         # has ended; its registration decides then.
-        if reach is ProbeResult.REFUSED:
+        if probe_result is ProbeResult.REFUSED:
             self.on_lost(endpoint.id)
         for loss in losses:
-            self._create_report(loss, reach is ProbeResult.REFUSED)
+            self._create_report(loss, probe_result is ProbeResult.REFUSED)
 
     def _create_report(self, loss: LostAttempt, refused: bool) -> None:
         report = PendingReport(loss, refused)
-        self.kept[loss.content, loss.endpoint.id] = report
-        if len(self.kept) > MAX_REPORTS:
-            self.kept.popitem(last=False)
+        self.reports[loss.content, loss.endpoint.id] = report
+        if len(self.reports) > MAX_REPORTS:
+            self.reports.popitem(last=False)
         self._send_report(report)
 
     def _send_report(self, report: PendingReport) -> None:
@@ -214,19 +217,20 @@
             self.fleet.send(owner, message)
 
     def resend(self) -> None:
-        """Resend reports, also to routers that have become responsible.
+        """Resend reports, including to routers that have become responsible.
 
-        Each router is sent a report `SENDS_PER_OWNER` times: datagrams may be lost.
+        A report is sent `SENDS_PER_OWNER` times to each responsible router, since
+        datagrams may be lost.
         """
         oldest = self.loop.time() - REPORT_DURATION
-        for key, report in list(self.kept.items()):
+        for key, report in list(self.reports.items()):
             if report.loss.at < oldest:
-                del self.kept[key]
+                del self.reports[key]
             else:
                 self._send_report(report)
 
     def forget(self, content: ContentId, until: float) -> None:
         """Drop the reports on a content up to loop time `until`."""
-        for key, report in list(self.kept.items()):
+        for key, report in list(self.reports.items()):
             if key[0] == content and report.loss.at <= until:
-                del self.kept[key]
+                del self.reports[key]
--- a/carawayfold/coordination/containment/endpoint_activity.py
+++ b/carawayfold/coordination/containment/endpoint_activity.py
@@ -32,6 +32,9 @@
         self.last_byte_at[endpoint] = now
 
     def is_silent(self, endpoint: EndpointId, since: float, now: float) -> bool:
-        """Return whether nothing has arrived since `since` for too long."""
+        """Return whether no byte has arrived for `SILENCE_TIMEOUT` before `now`.
+
+        The time without a byte is counted from `since` at the earliest.
+        """
         last = max(self.last_byte_at.get(endpoint, 0.0), since)
         return now - last >= SILENCE_TIMEOUT
--- a/carawayfold/coordination/containment/verdict_records.py
+++ b/carawayfold/coordination/containment/verdict_records.py
@@ -23,7 +23,7 @@
 
 
 class VerdictRecorder:
-    """Keeps the verdicts in the store equal to those this router is responsible for.
+    """Writes the verdicts that this router is responsible for to the store.
 
     Parameters
     ----------
@@ -82,7 +82,7 @@
             del self.stored_stamps[content]
 
     def write_missing(self) -> None:
-        """Write verdicts that the store lacks, as far as this router is responsible."""
+        """Write verdicts that the store lacks and this router is responsible for."""
         for entry in self.quarantine.entries.values():
             stored = self.stored_stamps.get(entry.content)
             lasting = entry.level is Level.QUARANTINED or stored is not None
--- a/carawayfold/coordination/knowledge/administration.py
+++ b/carawayfold/coordination/knowledge/administration.py
@@ -22,7 +22,7 @@
     ChangeState.CONFLICT: admin_pb2.ChangeReply.CONFLICT,
     ChangeState.INVALID: admin_pb2.ChangeReply.INVALID,
 }
-#: Characters of a change id at most.
+#: Most characters of a change id.
 MAX_CHANGE_ID_LENGTH = 128
 
 
--- a/carawayfold/coordination/knowledge/anti_entropy.py
+++ b/carawayfold/coordination/knowledge/anti_entropy.py
@@ -36,10 +36,10 @@
 #: from peers before it reads the store. Hubs that started at the same time, on equally
 #: slow instances, have read the store by then.
 BOOTSTRAP_TIMEOUT = 2.0
-#: Seconds that it waits for the list of routers before that. The two store calls that
-#: this needs take some ten milliseconds.
+#: Seconds that such a router first waits for the list of routers. The two store calls
+#: that this needs take some ten milliseconds.
 LISTING_TIMEOUT = 0.3
-#: Seconds between fetches from peers during that time.
+#: Seconds between fetches from peers within `BOOTSTRAP_TIMEOUT`.
 BOOTSTRAP_INTERVAL = 0.2
 #: Seconds for which a router that fetched everything from a peer does not read the
 #: store. It learns from heartbeats which routers are readers; two heartbeat intervals
@@ -63,7 +63,7 @@
 HOP_DELAY = 0.01
 #: Seconds between calls to a store that does not answer, per router of a fleet in
 #: which a few routers read for the others. The first router that is answered informs
-#: the rest.
+#: the others.
 NO_ANSWER_DELAY_PER_ROUTER = 0.05
 CONFIGURATION_PATH = "/configuration"
 ENDPOINTS_PATH = "/endpoints"
@@ -87,17 +87,17 @@
         self.fleet = fleet
         self.knowledge = knowledge
         self.http = http
-        #: Loop time before which this router leaves reading to others.
+        #: Loop time before which this router does not read the store.
         self.reads_deferred_until = 0.0
         #: Loop time at which this router last had all records of the store.
         self.known_at = knowledge.store.registrations
         #: Loop time since which a peer has had newer registrations; None if none has.
         self.behind_since: float | None = None
-        #: Loop time until which each peer that did not answer is asked last.
+        #: Loop time until which each peer that did not answer is ranked last.
         self.unresponsive_until: dict[RouterId, float] = {}
         #: Set while this router should read registrations from the store.
         self.reading = asyncio.Event()
-        #: The same for the operators' records, since one topic alone may not answer.
+        #: The same for the operators' records: one of the two topics may not answer.
         self.reading_operators = asyncio.Event()
         #: Set to poll peers at once rather than after the usual interval.
         self.wake_requested = asyncio.Event()
@@ -180,8 +180,8 @@
 
         The age reported by a peer with newer records does not apply to the records of
         this router. A reported age increases from the arrival of the heartbeat, not
-        from when a hub list named the peer or a role changed: old records would appear
-        to be new, and be reported to others as new.
+        from when a hub list named the peer or a role changed; otherwise old records
+        would appear to be new, and be reported to others as new.
         """
         now = asyncio.get_running_loop().time()
         ages = [own]
--- a/carawayfold/coordination/knowledge/configuration.py
+++ b/carawayfold/coordination/knowledge/configuration.py
@@ -32,7 +32,7 @@
 
 #: Records after which a checkpoint of the configuration is written.
 CHECKPOINT_RECORD_INTERVAL = 200
-#: Bytes of one part of a checkpoint at most.
+#: Most bytes of one part of a checkpoint.
 PART_SIZE_BYTES = 256 * 1024
 #: Seconds that an operator's change waits for its outcome.
 OUTCOME_TIMEOUT = 5.0
@@ -58,14 +58,15 @@
         Returns whether this router writes checkpoints. If two routers do, they write
         equal copies of equal prefixes.
     checkpoint_interval : float
-        Seconds between checkpoints at most, so that the log always retains one.
+        Most seconds between checkpoints, so that the log always retains one.
 
     Attributes
     ----------
     snapshot : Snapshot
         The configuration in force at this router.
     state : ConfigState
-        ``UNKNOWN`` until the configuration was read from the log or got from a peer.
+        ``UNKNOWN`` until the configuration was read from the log or received from a
+        peer.
     """
 
     def __init__(
@@ -253,7 +254,7 @@
         try:
             await self.log.append(record_encoder.encode(change))
         except PlatformError:
-            # The record may have been appended nevertheless; its outcome then shows it.
+            # The record may have been appended nevertheless; its outcome then arrives.
             logger.info(
                 "append not acknowledged; waiting for the outcome",
                 extra={"change": change.change_id},
--- a/carawayfold/coordination/knowledge/endpoint_notices.py
+++ b/carawayfold/coordination/knowledge/endpoint_notices.py
@@ -3,7 +3,7 @@
 Endpoints may leave while the store does not answer, or answers only some routers. Each
 response of such an endpoint says that it leaves, and the router that gets one
 broadcasts it. Checksums show which routers have missed a notice, including those that
-have just started; they are sent while any notice is known.
+have just started; they are sent while any endpoint is known to leave.
 """
 
 from __future__ import annotations
@@ -47,10 +47,10 @@
     fleet : Fleet
         The routers.
     knowledge : Knowledge
-        Holds which endpoints leave.
+        Holds which endpoints are leaving.
     rests : EndpointBackoffs
-        Holds which endpoints asked this router for a pause. Other routers may go on
-        sending to them.
+        Backoffs that endpoints requested of this router. Other routers may continue
+        to send to them.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         logger.info("endpoint asks for rest", extra=extra)
 
     async def report_periodically(self) -> None:
-        """Send checksums at regular intervals while any notice is known."""
+        """Send checksums at regular intervals while any endpoint is known to leave."""
         while True:
             await asyncio.sleep(DIGEST_INTERVAL)
             checksum = self.checksum
--- a/carawayfold/coordination/knowledge/followers.py
+++ b/carawayfold/coordination/knowledge/followers.py
@@ -29,8 +29,8 @@
 #: Seconds that a read waits for new records. Together with the time-out of a read that
 #: is not answered it is less than the time within which a router must be up to date.
 LONG_POLL_TIMEOUT = 1.4
-#: Seconds that a read waits at a router that reads for others. They consider it cut off
-#: from the store when it has had no answer for a little longer.
+#: Seconds that a read waits at a router that reads for others. They consider the router
+#: cut off from the store when it has had no answer for a little longer.
 SHARED_LONG_POLL_TIMEOUT = 0.8
 #: Seconds between two reads of registrations, so that a whole service that registers
 #: at once takes a few reads and not one per endpoint.
@@ -99,7 +99,8 @@
         self.next: Position | None = None
         #: Whether the store no longer retains the records after `next`.
         self.history_lost = False
-        #: Whether other routers' reads may have ended with this one's last.
+        #: Whether the last read of this router may have ended together with the reads
+        #: of other routers.
         self.synchronized = True
         #: Loop time at which the last call began.
         self.call_started_at = 0.0
@@ -166,7 +167,7 @@
         return self.wait() * (random.random() if self.synchronized else 1.0)
 
     async def step(self) -> None:
-        """Read once, as soon as no other router reads for this one."""
+        """Read once, as soon as this router should read the store."""
         if self.next is not None or self.knowledge.complete:
             await self.wait_for_turn()
         start = None if self.history_lost else self._start_position()
--- a/carawayfold/coordination/knowledge/knowledge.py
+++ b/carawayfold/coordination/knowledge/knowledge.py
@@ -48,7 +48,7 @@
         Seconds until the sender drops each endpoint whose entry disappeared in an
         outage, by name.
     warming : dict
-        Seconds for which each endpoint that warms up still does, by name.
+        Remaining seconds of warm-up of each endpoint that warms up, by name.
     """
 
     offset: Position
@@ -91,8 +91,8 @@
     on_store : callable
         Called when the store becomes reachable or unreachable for this router.
     age : callable, optional
-        Returns the age in seconds of the registrations, by own reads or by way of
-        peers. By default the age by own reads.
+        Returns the age in seconds of the registrations, which come from the store or
+        from peers. By default the age of those read from the store.
     on_restore : callable
         Called when the store was restored from a backup that lacks recent records.
     """
@@ -117,7 +117,8 @@
         self.listed = False
         #: Loop time at which the store was last found unavailable for all routers.
         self.last_outage_at = float("-inf")
-        #: Loop time until which lists may hold removed endpoints, from a backup.
+        #: Loop time until which lists of a store restored from a backup may contain
+        #: removed endpoints.
         self.restored_until = float("-inf")
         now = self.loop.time()
         self.store = StoreHealth(answered=now, registrations=now, operators=now)
@@ -173,7 +174,7 @@
     def _note_outage(self, now: float) -> None:
         """Record an outage unless the store has answered some router throughout.
 
-        No lease expires because the store refuses only this router, so an entry that
+        Leases do not expire if the store refuses only this router. An entry that
         disappears in that case belongs to an endpoint that has left.
         """
         if self.age() > MIN_OUTAGE_AGE:
--- a/carawayfold/coordination/requests/forwarding.py
+++ b/carawayfold/coordination/requests/forwarding.py
@@ -460,7 +460,7 @@
     def _check_copy_source(
         self, call: ForwardedCall, granted: Granted
     ) -> Endpoint | None:
-        """Return the endpoint to copy the cached prompt from, None if it is unusable."""
+        """Return the endpoint to copy the cached prompt from, None if unusable."""
         copy_source = (
             self.coordinator.endpoints.get(granted.copy_source)
             if granted.copy_source
--- a/carawayfold/gateway_settings.py
+++ b/carawayfold/gateway_settings.py
@@ -113,7 +113,7 @@
         10.0,
         "",
         in_range(0, 1e6),
-        "Retries of the fleet allowed in each window besides these.",
+        "Retries of the fleet allowed in each window in addition to retry_ratio.",
     ),
     Setting(
         "retry_window",
--- a/carawayfold/settings.py
+++ b/carawayfold/settings.py
@@ -187,7 +187,7 @@
         1,
         "",
         in_range(1, 1000),
-        "Number of routers that divide the slots under the policy alone.",
+        "Routers among which the policy 'alone' divides the slots of each endpoint.",
     ),
     Setting(
         "queue_organisation",
@@ -291,7 +291,7 @@
         0.2,
         "s",
         in_range(0.01, 10),
-        "Seconds between service reports to peers.",
+        "Seconds between heartbeats to peers, which report the service received.",
     ),
     Setting(
         "checkpoint",
@@ -299,7 +299,7 @@
         300.0,
         "s",
         in_range(1, 86400),
-        "Seconds between checkpoints of the configuration.",
+        "Most seconds between checkpoints of the configuration.",
     ),
     Setting(
         "key_lifetime",
--- a/carawayfold/state/claims.py
+++ b/carawayfold/state/claims.py
@@ -202,7 +202,7 @@
 
 
 class StoredAnswer(msgspec.Struct):
-    """The answer to a request that ran, sent again for retries with its key."""
+    """The answer to a request that ran, returned to retries with its key."""
 
     status: int
     headers: dict[str, str]
--- a/carawayfold/state/configuration.py
+++ b/carawayfold/state/configuration.py
@@ -220,7 +220,7 @@
 class Snapshot(msgspec.Struct):
     """The configuration at one offset of the log.
 
-    It depends on the prefix of the log alone, so that every router that has read the
+    It depends only on the prefix of the log, so that every router that has read the
     same prefix has the same snapshot.
 
     Attributes
--- a/carawayfold/state/contents.py
+++ b/carawayfold/state/contents.py
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from carawayfold.state.ids import OrganisationId
 
-#: Length of a digest in bytes. Long enough that no caller can find another content with
-#: the same digest and so have another request taken for its own.
+#: Length of a digest in bytes. Long enough that no caller can construct a collision, by
+#: which the request of another caller would be taken for its own.
 DIGEST_SIZE = 16
 
 
 def content_id(
     organisation: OrganisationId, method: bytes, target: bytes, body: bytes
 ) -> ContentId:
-    """Return the digest of a request's content, equal for each retry of the request.
+    """Return the digest of a request's content, equal for all its retries.
 
     It includes the organisation, so that contents of different organisations differ. A
     body of 48 KB takes 72 us, so the digest is computed only where a retry must be
--- a/carawayfold/state/crashes.py
+++ b/carawayfold/state/crashes.py
@@ -227,7 +227,7 @@
     ) -> None:
         """Record a run that completed, and drop the crashes up to it.
 
-        The content was in flight at these by coincidence.
+        The content was in flight at those crashes by coincidence.
 
         Parameters
         ----------
@@ -266,25 +266,25 @@
         case = self.cases[content] = Case(organisation)
         self.organisations[organisation] += 1
         if self.organisations[organisation] > MAX_CASES_PER_ORGANISATION:
-            self.clear(self._least_incriminated(organisation, content))
+            self.clear(self._content_with_fewest_crashes(organisation, content))
         elif len(self.cases) > MAX_CASES:
             most = self.organisations.most_common(1)[0][0]
-            self.clear(self._least_incriminated(most, content))
+            self.clear(self._content_with_fewest_crashes(most, content))
         return case
 
-    def _least_incriminated(
-        self, organisation: OrganisationId, kept: ContentId
+    def _content_with_fewest_crashes(
+        self, organisation: OrganisationId, excluded: ContentId
     ) -> ContentId:
         """Return the content of an organisation with fewest crashes, oldest first.
 
-        The content `kept` is excluded.
+        The content `excluded` is not considered.
         """
-        mine = [
+        candidates = [
             content
             for content, case in self.cases.items()
-            if case.organisation == organisation and content != kept
+            if case.organisation == organisation and content != excluded
         ]
-        return min(mine, key=lambda content: len(self.cases[content].crashes))
+        return min(candidates, key=lambda content: len(self.cases[content].crashes))
 
     def _decrement(self, organisation: OrganisationId) -> None:
         self.organisations[organisation] -= 1
--- a/carawayfold/state/endpoint_backoffs.py
+++ b/carawayfold/state/endpoint_backoffs.py
@@ -43,7 +43,7 @@
     Attributes
     ----------
     entries : dict
-        Backoffs by endpoint, kept until the endpoint has answered a probe request.
+        Backoffs by endpoint, until the endpoint has answered a probe request.
     """
 
     def __init__(self) -> None:
@@ -95,14 +95,14 @@
         return known.next_probe
 
     def is_backing_off(self, endpoint: EndpointId, now: float) -> bool:
-        """Return whether the backoff from an endpoint lasts at `now`."""
+        """Return whether the backoff from an endpoint has not ended at `now`."""
         known = self.entries.get(endpoint)
         return known is not None and now < known.until
 
     def expire(self, registered: Container[EndpointId], now: float) -> None:
         """Drop ended backoffs of endpoints that are no longer registered.
 
-        A backoff that lasts is kept, as the endpoint may register again before its end.
+        A backoff that has not ended stays, as the endpoint may register again before.
         """
         expired = [
             endpoint
--- a/carawayfold/state/endpoints.py
+++ b/carawayfold/state/endpoints.py
@@ -26,8 +26,8 @@
 MAX_INCARNATIONS = 2000
 #: Most unregistered endpoints whose announced stop is remembered.
 MAX_ANNOUNCED = 2000
-#: Seconds for which a deregistration is remembered. A store restored from a copy some
-#: seconds old still lists endpoints that were deregistered after the copy was made.
+#: Seconds for which a deregistration is remembered. A store restored from a backup some
+#: seconds old still lists endpoints that were deregistered after the backup.
 DEREGISTRATION_RETENTION_DURATION = 30.0
 
 
@@ -93,7 +93,7 @@
         Registered endpoints by name, leaving ones included.
     lapsed : dict
         Endpoints whose entry was removed during an outage, with the monotonic seconds
-        until which they are kept.
+        until which they stay usable.
     incarnations : dict
         Newest known incarnation of each name, in Unix milliseconds.
     deregistered_at : dict
@@ -103,7 +103,7 @@
         to leave.
     announced : dict
         Incarnations that announced their stop in an answer, with whether that must be
-        sent to the fleet. It holds until they stop, whatever their entries say.
+        sent to the fleet. It applies until they stop, even if their entries differ.
     outage_end : float
         Monotonic seconds at which the store was last known to be unreachable.
     """
@@ -120,8 +120,8 @@
     def put(self, endpoint: Endpoint, now: float = 0.0, listed: bool = False) -> bool:
         """Add or change an entry; return whether it changed.
 
-        An entry of an earlier incarnation is ignored. An endpoint that leaves stays
-        leaving whatever later entries say: an older entry may be restored with a copy
+        An entry of an earlier incarnation is ignored. Once an endpoint is leaving,
+        later entries do not revert that: an older entry may be restored from a backup
         of the store, and the endpoint may have failed to write a newer one.
 
         Parameters
@@ -132,8 +132,8 @@
             Monotonic seconds.
         listed : bool
             Whether the entry comes from a complete list, and may have been written long
-            ago. An unchanged `Endpoint.warm_up` then keeps the known end of the
-            warm-up.
+            ago. If its `Endpoint.warm_up` is unchanged, the known end of the warm-up
+            still applies.
         """
         if endpoint.incarnation < self.incarnations.get(endpoint.name, 0):
             return False
@@ -216,8 +216,8 @@
     def remove(self, name: EndpointName, now: float) -> bool:
         """Remove an entry; return whether its endpoint became unusable at once.
 
-        An entry removed during an outage of the store is kept for a time, as its lease
-        may have expired only because it could not be renewed.
+        An entry removed during an outage of the store stays usable for a time, as its
+        lease may have expired only because it could not be renewed.
         """
         if name not in self.entries:
             return False
@@ -230,7 +230,7 @@
         return True
 
     def _record_deregistration(self, name: EndpointName, now: float) -> None:
-        # Entries are in order of time, so expired ones come first.
+        # Entries are in order of time, so expired ones precede the others.
         self.deregistered_at.pop(name, None)
         self.deregistered_at[name] = now
         oldest = now - DEREGISTRATION_RETENTION_DURATION
@@ -247,7 +247,7 @@
         Parameters
         ----------
         endpoints : list of Endpoint
-            Endpoints listed by a store that was restored from a copy.
+            Endpoints listed by a store that was restored from a backup.
         now : float
             Monotonic seconds.
         """
--- a/carawayfold/state/evacuations.py
+++ b/carawayfold/state/evacuations.py
@@ -15,8 +15,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-#: Seconds for which an evacuation is kept that a store restored from a copy no longer
-#: lists. It was written after the copy was made, and no operator has ended it.
+#: Seconds for which an evacuation stays in force that a store restored from a backup no
+#: longer lists. It was written after the backup was made, and no operator has ended it.
 UNCONFIRMED_DURATION = 30.0
 
 
@@ -30,8 +30,8 @@
     active : list of DataCentreId
         Evacuated data centres.
     unconfirmed : dict
-        Remaining seconds for which evacuations are kept that a restored store does not
-        list.
+        Remaining seconds for which evacuations stay in force that a restored store
+        does not list.
     """
 
     changed_at: Position
@@ -51,8 +51,8 @@
     active : set of DataCentreId
         Evacuated data centres.
     unconfirmed : dict
-        Evacuations that a store restored from a copy does not list, with the monotonic
-        seconds until which they are kept.
+        Evacuations that a store restored from a backup does not list, with the
+        monotonic seconds until which they stay in force.
     """
 
     known: bool = False
@@ -68,8 +68,8 @@
         states : mapping
             Whether each data centre is evacuated, by its newest record.
         after : Position
-            Position after the last record. The records are ignored where a peer has
-            already sent the state after it.
+            Position after the last record. The records are ignored if a peer has
+            already sent the state after them.
         """
         if after <= self.changed_at:
             return False
--- a/carawayfold/state/forwarded.py
+++ b/carawayfold/state/forwarded.py
@@ -20,11 +20,11 @@
     organisations : Metrics
         Histograms and counters by organisation.
     refusals : Counter
-        Rejected requests by kind.
+        Refused requests by kind.
     barred_grants : Counter
         Grants returned unused, by the reason for which the endpoint could not be used.
     repeats, repeats_refused : Counter
-        Retries by service, and those that the retry budget rejected.
+        Retries by service, and those that the retry budget did not allow.
     """
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
         self.repeats_refused: Counter[ServiceId] = Counter()
 
     def refused(self, kind: ErrorKind) -> None:
-        """Count a rejected request."""
+        """Count a refused request."""
         self.refusals[kind] += 1
 
     def record_retry(self, service: ServiceId, taken: bool) -> None:
-        """Count a retry, or one that the budget rejected if `taken` is False."""
+        """Count a retry, or one that the budget did not allow if `taken` is False."""
         counter = self.repeats if taken else self.repeats_refused
         counter[service] += 1
 
@@ -58,7 +58,7 @@
             Organisation of the request.
         end : str
             How it ended: ``"whole"``, ``"cut"``, ``"caller left"`` or another value for
-            a rejected request.
+            a refused request.
         waited : float
             Seconds from arrival to the grant of a slot.
         first : float or None
--- a/carawayfold/state/ids.py
+++ b/carawayfold/state/ids.py
@@ -26,7 +26,7 @@
 PoolId = NewType("PoolId", str)
 #: Position of a record in a stream of the platform's log.
 Offset = NewType("Offset", int)
-#: Position of a record in a log that may be restored from a copy; see
+#: Position of a record in a log that may be restored from a backup; see
 #: `state.positions`.
 Position = NewType("Position", int)
 #: Name of a route of the operators' configuration.
--- a/carawayfold/state/metrics.py
+++ b/carawayfold/state/metrics.py
@@ -36,7 +36,7 @@
     first : HdrHistogram
         Milliseconds from arrival to the first byte of the answer.
     whole, refused, broken : int
-        Requests by their end: answered completely, rejected, or broken off, by the
+        Requests by their end: answered completely, refused, or broken off, by the
         endpoint or by the caller.
     service : float
         Service units received.
--- a/carawayfold/state/positions.py
+++ b/carawayfold/state/positions.py
@@ -1,4 +1,4 @@
-"""Positions in a log that may be restored from a copy, which reuses offsets.
+"""Positions in a log that may be restored from a backup, which reuses offsets.
 
 A position consists of an era, the number of restorations, and an offset. Any position
 after a restoration is greater than all positions before it, whatever their offsets.
@@ -18,7 +18,7 @@
     Parameters
     ----------
     era : int
-        Number of times that the log has been restored from a copy.
+        Number of times that the log has been restored from a backup.
     offset : int
         Offset of the record within the era.
     """
--- a/carawayfold/state/prefix_cache.py
+++ b/carawayfold/state/prefix_cache.py
@@ -62,17 +62,17 @@
         for part in prompt:
             if part.id not in self.parts:
                 self.pending.add(part.id)
-            self._keep(part)
+            self._insert_or_refresh(part)
         self._evict()
 
     def read(self, prompt: Iterable[Part]) -> None:
         """Record that the engine has read `prompt`."""
         for part in prompt:
             self.pending.discard(part.id)
-            self._keep(part)
+            self._insert_or_refresh(part)
         self._evict()
 
-    def _keep(self, part: Part) -> None:
+    def _insert_or_refresh(self, part: Part) -> None:
         if part.id in self.parts:
             self.parts.move_to_end(part.id)
             return
--- a/carawayfold/state/quarantine.py
+++ b/carawayfold/state/quarantine.py
@@ -24,11 +24,11 @@
 #: pause crashes at most four endpoints an hour, and a repaired endpoint is tried again
 #: on the same day without an operator.
 QUARANTINE_DURATION = 900.0
-#: Seconds for which a rested content is rejected. It completed a run shortly before, so
-#: it may have been in flight by coincidence; one more run decides.
+#: Seconds for which a content at `Level.RESTED` is rejected. It completed a run shortly
+#: before, so it may have been in flight by coincidence; one more run decides.
 REST_DURATION = 10.0
 #: Seconds for which a content is remembered after its rejection ends, or after its last
-#: crash. One more crash within that time has it rejected again.
+#: crash. One more crash within that time causes another rejection.
 RETENTION_DURATION = 900.0
 #: Most contents remembered: 0.6 MB of the 128 MB of the smallest instance.
 MAX_ENTRIES = 1000
@@ -108,7 +108,7 @@
 
 
 class Quarantine:
-    """The verdicts of the fleet that one router knows.
+    """The verdicts of the fleet, as known to one router.
 
     Attributes
     ----------
@@ -204,8 +204,10 @@
             self._drop_least_important(self.organisations.most_common(1)[0][0])
 
     def _drop_least_important(self, organisation: OrganisationId) -> None:
-        mine = [x for x in self.entries.values() if x.organisation == organisation]
-        self._drop(least_important(mine).content)
+        candidates = [
+            x for x in self.entries.values() if x.organisation == organisation
+        ]
+        self._drop(least_important(candidates).content)
 
     def _drop(self, content: ContentId) -> None:
         entry = self.entries.pop(content, None)
--- a/carawayfold/state/queue.py
+++ b/carawayfold/state/queue.py
@@ -29,7 +29,7 @@
     organisation : OrganisationId
         Organisation whose share it uses.
     urgent : bool
-        Whether it goes before normal requests of the same organisation.
+        Whether it precedes normal requests of the same organisation.
     since : float
         Monotonic seconds of its arrival.
     deadline : float
@@ -73,7 +73,7 @@
         return min(heads)
 
     def order(self) -> tuple[deque[Waiter], deque[Waiter]]:
-        """Return the two classes, the one to take from before the other."""
+        """Return the two classes in the order in which to take the next request."""
         if self.taken % NORMAL_PERIOD == NORMAL_PERIOD - 1:
             return self.normal, self.urgent
         return self.urgent, self.normal
@@ -117,7 +117,7 @@
         self.total += 1
 
     def take(self, organisation: OrganisationId, endpoint: EndpointId) -> Waiter | None:
-        """Remove and return the next request that may go to `endpoint`.
+        """Remove and return the next request that may be sent to `endpoint`.
 
         Parameters
         ----------
@@ -129,7 +129,7 @@
         Returns
         -------
         Waiter or None
-            None if no request may go there.
+            None if no request may be sent there.
         """
         queue = self.queues.get(organisation)
         if queue is None:
--- a/carawayfold/state/residency.py
+++ b/carawayfold/state/residency.py
@@ -20,7 +20,8 @@
     """Return the data centres in which a request may run, None for any.
 
     Where both the route and the organisation are restricted to regions, both
-    restrictions apply. A data centre whose region is not known is excluded by any.
+    restrictions apply. A data centre whose region is not known is excluded by
+    any restriction.
 
     Parameters
     ----------
--- a/carawayfold/state/routes.py
+++ b/carawayfold/state/routes.py
@@ -38,7 +38,7 @@
     service : ServiceId
         The service.
     weight : float
-        Relative number of requests that it gets.
+        Its share of the requests, relative to the other services.
     """
 
     service: ServiceId
--- a/carawayfold/state/service_rows.py
+++ b/carawayfold/state/service_rows.py
@@ -14,8 +14,8 @@
 #: Seconds after which a router drops its own idle row. A later row of the same key
 #: starts from zero.
 LOCAL_ROW_TIMEOUT = 15.0
-#: Seconds after which a peer drops the row. Longer, so that a row still kept by its
-#: owner is never taken for one that starts from zero.
+#: Seconds after which a peer drops the row. Longer, so that a row which its own router
+#: still has is never taken for one that starts from zero.
 PEER_ROW_TIMEOUT = 30.0
 
 
--- a/tests/coordination/containment/test_containment.py
+++ b/tests/coordination/containment/test_containment.py
@@ -125,7 +125,7 @@
         [harmful] = killers_of(1)
         await crash_engines(world, harmful, ALLOWED_CRASHES - 1)
         made = world.containments.items()
-        homes = {name for name, item in made if harmful in item.book.cases}
+        homes = {name for name, item in made if harmful in item.crash_table.cases}
         assert homes
         world.kill(*homes)
         await crash_engines(world, harmful, ALLOWED_CRASHES)
@@ -145,7 +145,9 @@
         processor = fleet.routers[home].own.processor
         sender, other = sorted(world.containments.keys() - {home})[:2]
         world.send(sender, harmful, True)
-        await fleet.until(lambda: harmful in world.containments[home].book.cases, 3.0)
+        await fleet.until(
+            lambda: harmful in world.containments[home].crash_table.cases, 3.0
+        )
         await asyncio.sleep(1.0)
         world.kill(home)
         await asyncio.sleep(downtime)
--- a/tests/coordination/containment/test_crash_reports.py
+++ b/tests/coordination/containment/test_crash_reports.py
@@ -5,9 +5,9 @@
 import asyncio
 
 import pytest
-from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 
 from carawayfold.coordination.containment.crash_reports import CrashReports, LostAttempt
+from carawayfold.coordination.containment.endpoint_activity import EndpointActivity
 from carawayfold.coordination.fleet.membership import Member, Membership
 from carawayfold.state.contents import content_id
 from carawayfold.transport.probes import ProbeResult
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -75,10 +75,10 @@
 
 @given(st.lists(changes, max_size=30), st.integers(0, 30))
 def test_same_prefix_gives_the_same_state_after_a_copy(items, cut):
-    whole, copied = new_snapshot(), new_snapshot()
+    original, copied = new_snapshot(), new_snapshot()
     for offset, change in enumerate(items):
-        whole.apply(offset + 1, change)
+        original.apply(offset + 1, change)
         if offset == cut:
             copied = unpack(pack(copied))
         copied.apply(offset + 1, change)
-    assert copied == whole
+    assert copied == original
--- a/tests/state/test_positions.py
+++ b/tests/state/test_positions.py
@@ -1,4 +1,4 @@
-"""Positions in a log that is restored from a copy."""
+"""Positions in a log that is restored from a backup."""
 
 from __future__ import annotations
 
--- a/tests/state/test_repeats_of_a_fleet.py
+++ b/tests/state/test_repeats_of_a_fleet.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("times", [1, 2, 3])
 def test_restarted_routers_do_not_use_earned_retries_twice(times):
-    """Guards against a budget that is earned again after each restart.
+    """Guards against a budget that is earned twice, before and after a restart.
 
     Retries earned in ten seconds without failures are used at once before a restart.
     """
@@ -68,7 +68,7 @@
 def test_callers_that_move_to_other_routers_dont_earn_twice():
     """Guards against using a budget twice when callers change routers.
 
-    Retries earned in ten seconds are used before the change, and again after it.
+    Retries earned in ten seconds are used before the change, and also after it.
     """
     for routers, extra in FLEETS:
         fleet = moved(routers, extra, failing=[(9.0, 10.0), (18.0, 19.0)])
--- a/tests/state/test_service_rows.py
+++ b/tests/state/test_service_rows.py
@@ -18,12 +18,12 @@
 
 
 class Pair:
-    """A router's service book, and a peer that receives its rows over one link."""
+    """A router's service accounts, and a peer that gets their rows over one link."""
 
     def __init__(self):
         self.now = 0.0
         self.rows = LocalRows(lambda: self.now)
-        self.book = ServiceAccounts(RouterId("one"), self.rows, lambda _: 1.0)
+        self.accounts = ServiceAccounts(RouterId("one"), self.rows, lambda _: 1.0)
         self.peer = ServiceAccounts(
             RouterId("two"), LocalRows(lambda: self.now), lambda _: 1.0
         )
@@ -35,15 +35,15 @@
 
     def send(self, first=False, times=1):
         frame = peer_pb2.Frame()
-        self.book.write(frame, self.names, self.cursor)
+        self.accounts.write(frame, self.names, self.cursor)
         self.names.learn(frame)
         for _ in range(times):
             for rows in frame.rows:
                 self.peer.read(RouterId("one"), rows, self.names, first)
 
     def tidy(self):
-        for book in (self.book, self.peer):
-            book.tidy({"one", "two"})
+        for accounts in (self.accounts, self.peer):
+            accounts.tidy({"one", "two"})
 
     def service_received(self):
         return self.peer.ledger(SURVEY).account(ALDER).virtual
