--- a/carawayfold/state/successful_runs.py
+++ b/carawayfold/state/successful_runs.py
@@ -43,7 +43,7 @@
     ended: OrderedDict[ContentId, float] = msgspec.field(default_factory=OrderedDict)
 
     def watch(self, now: float) -> None:
-        """Record every completed run for `WATCH_DURATION` after an endpoint was lost."""
+        """Record all completed runs for `WATCH_DURATION`, as an endpoint was lost."""
         self.watch_until = now + WATCH_DURATION
 
     def should_record(self, body: bytes, now: float) -> bool:
--- a/tests/coordination/containment/test_containment.py
+++ b/tests/coordination/containment/test_containment.py
@@ -125,9 +125,11 @@
         [harmful] = killers_of(1)
         await crash_engines(world, harmful, ALLOWED_CRASHES - 1)
         made = world.containments.items()
-        homes = {name for name, item in made if harmful in item.crash_table.cases}
-        assert homes
-        world.kill(*homes)
+        counting_routers = {
+            name for name, item in made if harmful in item.crash_table.cases
+        }
+        assert counting_routers
+        world.kill(*counting_routers)
         await crash_engines(world, harmful, ALLOWED_CRASHES)
         return await fleet.until(lambda: all_refuse(world, harmful), 2 * ALLOWED_FOR)
 
@@ -141,18 +143,21 @@
 
     async def work(fleet, world):
         [harmful] = killers_of(1)
-        home = next(iter(fleet.routers.values())).responsible(partition_of(harmful))
-        processor = fleet.routers[home].own.processor
-        sender, other = sorted(world.containments.keys() - {home})[:2]
+        responsible_router = next(iter(fleet.routers.values())).responsible(
+            partition_of(harmful)
+        )
+        processor = fleet.routers[responsible_router].own.processor
+        sender, other = sorted(world.containments.keys() - {responsible_router})[:2]
         world.send(sender, harmful, True)
         await fleet.until(
-            lambda: harmful in world.containments[home].crash_table.cases, 3.0
+            lambda: harmful in world.containments[responsible_router].crash_table.cases,
+            3.0,
         )
         await asyncio.sleep(1.0)
-        world.kill(home)
+        world.kill(responsible_router)
         await asyncio.sleep(downtime)
-        fleet.dead.discard(home)
-        fleet.start(home, fleet.places[home], processor)
+        fleet.dead.discard(responsible_router)
+        fleet.start(responsible_router, fleet.places[responsible_router], processor)
         await asyncio.sleep(CONNECT_DURATION)
         while world.tally.crashes[harmful] < ALLOWED_CRASHES:
             before = world.tally.crashes[harmful]
--- a/tests/coordination/knowledge/test_anti_entropy.py
+++ b/tests/coordination/knowledge/test_anti_entropy.py
@@ -25,11 +25,11 @@
 
     def __init__(self, ready_after=0):
         self.ready_after = ready_after
-        self.asked = 0
+        self.request_count = 0
 
     async def fetch(self, address, method, path, timeout):
-        self.asked += 1
-        if self.asked <= self.ready_after:
+        self.request_count += 1
+        if self.request_count <= self.ready_after:
             return Answer(Head(404, {}), b"")
         known = {
             anti_entropy.CONFIGURATION_PATH: table(7),
@@ -60,10 +60,10 @@
 
 
 @pytest.mark.parametrize(
-    ("peers", "ready_after", "told"), [(80, 0, True), (80, 2, True), (5, 0, False)]
+    ("peers", "ready_after", "fetches"), [(80, 0, True), (80, 2, True), (5, 0, False)]
 )
 def test_a_router_that_starts_in_a_large_fleet_fetches_from_a_peer(
-    monkeypatch, peers, ready_after, told
+    monkeypatch, peers, ready_after, fetches
 ):
     monkeypatch.setattr(anti_entropy, "BOOTSTRAP_INTERVAL", 0.0)
 
@@ -73,7 +73,7 @@
         await made.bootstrap()
         return known.complete, made.may_read()
 
-    assert run_in_loop(run) == (told, not told)
+    assert run_in_loop(run) == (fetches, not fetches)
 
 
 def test_the_first_hubs_of_a_large_fleet_read_at_once():
@@ -83,7 +83,7 @@
         fleet = starting(80, expected=("router-3", "router-new"))
         made = anti_entropy.AntiEntropy(fleet, known, peer)
         await made.bootstrap()
-        return peer.asked, made.may_read()
+        return peer.request_count, made.may_read()
 
     assert run_in_loop(run) == (0, True)
 
@@ -164,7 +164,7 @@
     """A peer that does not answer must not delay fetches from the others.
 
     A hub that hangs is considered silent only after 2.5 s. If the first of equally
-    advanced hubs is asked each time, each fetch until then takes a second.
+    advanced hubs is queried each time, each fetch until then takes a second.
     """
     places = {f"router-{number}": Address("127.0.0.1", number + 1) for number in (0, 1)}
     own = Member("router-new", "north", 1, 0.0, hub=False)
--- a/tests/coordination/knowledge/test_knowledge.py
+++ b/tests/coordination/knowledge/test_knowledge.py
@@ -119,13 +119,13 @@
         known.apply_listing(listed(0, 50, *both))
         known.apply_registrations(Page([EndpointChange("b", None)], position(0, 51)))
         known.apply_listing(listed(1, 20, *both))
-        after_copy = sorted(known.endpoints.entries)
-        told = EndpointSnapshot(position(1, 21), both)
-        known.merge_snapshot(told, "peer")
+        after_restore = sorted(known.endpoints.entries)
+        snapshot = EndpointSnapshot(position(1, 21), both)
+        known.merge_snapshot(snapshot, "peer")
         after_peer = sorted(known.endpoints.entries)
         written = Page([EndpointChange("b", endpoint("b"))], position(1, 22))
         known.apply_registrations(written)
-        return after_copy, after_peer, sorted(known.endpoints.entries)
+        return after_restore, after_peer, sorted(known.endpoints.entries)
 
     assert run_in_loop(run) == (["a"], ["a"], ["a", "b"])
 
@@ -146,10 +146,10 @@
         peer.apply_registrations(Page([EndpointChange("b", None)], position(0, 51)))
         known, _ = knowledge()
         known.merge_snapshot(peer.snapshot(), "peer")
-        told = sorted(known.endpoints.entries)
+        before = sorted(known.endpoints.entries)
         later = known.loop.time() + LAPSE_GRACE_DURATION
         known.endpoints.expire(later)
-        return told, sorted(known.endpoints.entries)
+        return before, sorted(known.endpoints.entries)
 
     assert run_in_loop(run) == (["a", "b"], ["a"])
 
@@ -192,9 +192,9 @@
         second, _ = knowledge()
         second.merge_snapshot(first.snapshot(), "peer")
         later = second.loop.time()
-        told = second.endpoints.entries
-        left = told["a"].warm_at - later
-        return 1.5 < left <= 2.0, told["b"].is_warming(later)
+        received = second.endpoints.entries
+        left = received["a"].warm_at - later
+        return 1.5 < left <= 2.0, received["b"].is_warming(later)
 
     assert run_in_loop(run) == (True, False)
 
@@ -206,8 +206,8 @@
             item = endpoint("a", warm_up=3.0, warm_at=warm_at)
             known.apply_listing(Page([EndpointChange("a", item)], 10))
         listed = known.endpoints.entries["a"].warm_at
-        again = endpoint("a", warm_up=3.0, warm_at=20.0)
-        known.apply_registrations(Page([EndpointChange("a", again)], 11))
+        rewritten = endpoint("a", warm_up=3.0, warm_at=20.0)
+        known.apply_registrations(Page([EndpointChange("a", rewritten)], 11))
         return listed, known.endpoints.entries["a"].warm_at
 
     assert run_in_loop(run) == (5.0, 20.0)
--- a/tests/state/test_endpoint_backoffs.py
+++ b/tests/state/test_endpoint_backoffs.py
@@ -20,54 +20,56 @@
 NAME = "e-1"
 
 
-def rested(seconds, now=0.0):
-    rests = EndpointBackoffs()
-    rests.request_backoff(NAME, seconds, now)
-    return rests
+def backoffs_after(seconds, now=0.0):
+    backoffs = EndpointBackoffs()
+    backoffs.request_backoff(NAME, seconds, now)
+    return backoffs
 
 
 def test_backoff_lasts_as_long_as_requested():
-    rests = rested(3.0)
-    assert rests.available_at(NAME, 0.0) == rests.available_at(NAME, 2.9) == 3.0
-    assert rests.available_at(NAME, 3.0) == 0.0
-    assert rests.is_backing_off(NAME, 2.9)
-    assert not rests.is_backing_off(NAME, 3.0)
+    backoffs = backoffs_after(3.0)
+    assert backoffs.available_at(NAME, 0.0) == backoffs.available_at(NAME, 2.9) == 3.0
+    assert backoffs.available_at(NAME, 3.0) == 0.0
+    assert backoffs.is_backing_off(NAME, 2.9)
+    assert not backoffs.is_backing_off(NAME, 3.0)
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0])
 def test_duration_of_zero_or_less_is_no_backoff(seconds):
-    assert rested(seconds).entries == {}
+    assert backoffs_after(seconds).entries == {}
 
 
 @pytest.mark.parametrize("seconds", [1e9, float("inf")])
 def test_excessive_duration_is_limited(seconds):
-    assert rested(seconds).available_at(NAME, 0.0) == MAX_BACKOFF_DURATION
+    assert backoffs_after(seconds).available_at(NAME, 0.0) == MAX_BACKOFF_DURATION
 
 
 def test_later_request_does_not_shorten_a_backoff():
-    rests = rested(3.0)
-    rests.request_backoff(NAME, 1.0, 0.5)
-    assert rests.available_at(NAME, 0.5) == 3.0
+    backoffs = backoffs_after(3.0)
+    backoffs.request_backoff(NAME, 1.0, 0.5)
+    assert backoffs.available_at(NAME, 0.5) == 3.0
 
 
 def test_single_probe_requests_are_sent_after_a_backoff():
-    rests = rested(3.0)
-    rests.sent(NAME, 3.0)
-    assert rests.available_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL
-    rests.answered(NAME, 2.0)
-    assert rests.available_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL, "it was sent before"
-    rests.answered(NAME, 3.0)
-    assert rests.available_at(NAME, 3.1) == 0.0
+    backoffs = backoffs_after(3.0)
+    backoffs.sent(NAME, 3.0)
+    assert backoffs.available_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL
+    backoffs.answered(NAME, 2.0)
+    assert backoffs.available_at(NAME, 3.1) == 3.0 + PROBE_INTERVAL, (
+        "it was sent before"
+    )
+    backoffs.answered(NAME, 3.0)
+    assert backoffs.available_at(NAME, 3.1) == 0.0
 
 
 def test_backoff_is_kept_after_its_endpoint_is_deregistered():
-    rests = rested(3.0)
-    rests.expire({}, 2.9)
-    assert rests.is_backing_off(NAME, 2.9)
-    rests.expire({NAME: None}, 3.0)
-    assert NAME in rests.entries
-    rests.expire({}, 3.0)
-    assert rests.entries == {}
+    backoffs = backoffs_after(3.0)
+    backoffs.expire({}, 2.9)
+    assert backoffs.is_backing_off(NAME, 2.9)
+    backoffs.expire({NAME: None}, 3.0)
+    assert NAME in backoffs.entries
+    backoffs.expire({}, 3.0)
+    assert backoffs.entries == {}
 
 
 class Event(Enum):
@@ -84,7 +86,7 @@
     """A router's backoffs, and the end of the backoff that the endpoint requested."""
 
     def __init__(self):
-        self.rests = EndpointBackoffs()
+        self.backoffs = EndpointBackoffs()
         self.now = 0.0
         self.until = 0.0
         self.sent_at = 0.0
@@ -97,27 +99,27 @@
         if event is Event.PASSES:
             self.now += 1.0
         elif event is Event.ANSWERS:
-            self.rests.answered(NAME, self.sent_at)
+            self.backoffs.answered(NAME, self.sent_at)
         elif event is Event.SENT:
             return self._send()
         else:
-            asked = 3.0 if event is Event.ASKS_LONG else 1.0
-            self.until = max(self.until, self.now + asked)
-            self.rests.request_backoff(NAME, asked, self.now)
+            requested = 3.0 if event is Event.ASKS_LONG else 1.0
+            self.until = max(self.until, self.now + requested)
+            self.backoffs.request_backoff(NAME, requested, self.now)
         return self._is_endless()
 
     def _send(self):
-        if self.rests.available_at(NAME, self.now):
+        if self.backoffs.available_at(NAME, self.now):
             return False
-        self.rests.sent(NAME, self.now)
+        self.backoffs.sent(NAME, self.now)
         self.sent_at = self.now
         return self.now < self.until
 
     def _is_endless(self):
-        return bool(self.rests.available_at(NAME, max(self.now, self.until) + 1.0))
+        return bool(self.backoffs.available_at(NAME, max(self.now, self.until) + 1.0))
 
     def key(self):
-        found = self.rests.entries.get(NAME)
+        found = self.backoffs.entries.get(NAME)
         remaining = (
             (found.until - self.now, found.next_probe - self.now) if found else None
         )
--- a/tests/state/test_evacuations.py
+++ b/tests/state/test_evacuations.py
@@ -88,10 +88,10 @@
     assert peer.active == {"south"}
 
 
-@pytest.mark.parametrize("again", [False, True])
-def test_second_restoration_does_not_extend_an_unconfirmed_evacuation(again):
+@pytest.mark.parametrize("restored_twice", [False, True])
+def test_second_restoration_does_not_extend_an_unconfirmed_evacuation(restored_twice):
     table = evacuated("north", after=position(0, 10))
     table.listed([], position(1, 8), 100.0)
-    if again:
+    if restored_twice:
         table.listed([], position(2, 8), 120.0)
     assert table.expire(100.0 + UNCONFIRMED_DURATION)
--- a/tests/state/test_prefix_cache.py
+++ b/tests/state/test_prefix_cache.py
@@ -11,18 +11,18 @@
 
 
 def test_a_part_counts_only_behind_all_parts_before_it():
-    kept = PrefixCache(1000)
-    kept.read(parts("a", "b"))
-    assert kept.kept(parts("a", "b", "c")) == 200
-    assert kept.kept(parts("x", "b")) == 0
+    cache = PrefixCache(1000)
+    cache.read(parts("a", "b"))
+    assert cache.kept(parts("a", "b", "c")) == 200
+    assert cache.kept(parts("x", "b")) == 0
 
 
 def test_least_recently_used_part_is_evicted_first():
-    kept = PrefixCache(300)
-    kept.read(parts("a"))
-    kept.read(parts("b"))
-    kept.read(parts("a", "c"))
-    kept.read(parts("d"))
-    assert kept.kept(parts("a")) == 100
-    assert kept.kept(parts("b")) == 0
-    assert kept.tokens <= 300
+    cache = PrefixCache(300)
+    cache.read(parts("a"))
+    cache.read(parts("b"))
+    cache.read(parts("a", "c"))
+    cache.read(parts("d"))
+    assert cache.kept(parts("a")) == 100
+    assert cache.kept(parts("b")) == 0
+    assert cache.tokens <= 300
