--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of integration."""
+"""Integration tests."""
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def shared_fleet():
-    """Start the same, shared by tests that leave it as it was."""
+    """Start the same fleet once for all tests of a module that leave it unchanged."""
     with Processes() as processes:
         fleet = Fleet(processes)
         asyncio.run(start_deployment(fleet, SMALL))
--- a/tests/integration/test_evacuation.py
+++ b/tests/integration/test_evacuation.py
@@ -1,7 +1,8 @@
-"""Operators evacuate a data centre: its endpoints get nothing until that is taken back.
+"""Endpoints of an evacuated data centre get no requests until the evacuation ends.
 
-On a played day with two evacuations nothing read their records, and 345 requests
-reached endpoints of evacuated data centres after the time allowed.
+Guards against routers that do not read evacuation records: in a test scenario with two
+evacuations, 345 requests reached endpoints of evacuated data centres after the allowed
+delay.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 from tests.log_readers import read_log
 
 ROUTERS = ["router-0", "router-1"]
-#: Requests that are sent after the word has come: each has one chance in two.
+#: Requests sent once the evacuation is known; each would otherwise reach either
+#: endpoint with equal probability.
 SENDS = 12
 
 
@@ -29,9 +31,9 @@
 def fleet(processes):
     fleet = HostedFleet(processes)
     fleet.configure(configuration())
-    for name, place in (("d-1", "north"), ("d-2", "south")):
+    for name, data_centre in (("d-1", "north"), ("d-2", "south")):
         fleet.launch_endpoint(name, "desk")
-        fleet.register(name, zone=place)
+        fleet.register(name, zone=data_centre)
     for router in ROUTERS:
         fleet.start_router(router, behind_proxy=True)
     for router in ROUTERS:
@@ -39,7 +41,7 @@
     return fleet
 
 
-def ask(fleet, router, request):
+def send(fleet, router, request):
     headers = plain_headers(request)
     port = fleet.ports[router][0]
     return asyncio.run(call(port, "POST", "/once/x", b"body", headers))
@@ -59,56 +61,60 @@
         read_log(fleet, router, count, **wanted)
 
 
-def ask_many(fleet, name):
+def send_many(fleet, name):
     sent = [f"{name}-{number}" for number in range(SENDS)]
-    answers = [ask(fleet, ROUTERS[at % 2], item) for at, item in enumerate(sent)]
+    answers = [send(fleet, ROUTERS[at % 2], item) for at, item in enumerate(sent)]
     return sent, [answer.status for answer in answers]
 
 
-def ran(fleet, endpoint, requests):
+def executed_ids(fleet, endpoint, requests):
     return [x["id"] for x in fleet.ran(endpoint) if x["id"] in requests]
 
 
-def test_an_evacuated_data_centre_gets_nothing_until_that_is_taken_back(fleet):
+def test_an_evacuated_data_centre_gets_no_requests_until_its_evacuation_ends(fleet):
     evacuate(fleet, "north")
     wait_evacuated(fleet, "north")
-    sent, statuses = ask_many(fleet, "evacuated")
+    sent, statuses = send_many(fleet, "evacuated")
     assert statuses == [200] * SENDS
-    assert ran(fleet, "d-1", sent) == []
+    assert executed_ids(fleet, "d-1", sent) == []
     end_evacuation(fleet, "north")
     for router in ROUTERS:
         read_log(fleet, router, event="evacuation over", data_centre="north")
     evacuate(fleet, "south")
     wait_evacuated(fleet, "south")
-    sent, statuses = ask_many(fleet, "over")
+    sent, statuses = send_many(fleet, "over")
     assert statuses == [200] * SENDS
-    assert ran(fleet, "d-1", sent) == sent
+    assert executed_ids(fleet, "d-1", sent) == sent
 
 
-def test_what_only_evacuated_endpoints_could_serve_is_refused_with_a_time(fleet):
-    for place in ("north", "south", "nowhere"):
-        evacuate(fleet, place)
-        wait_evacuated(fleet, place)
-    answer = ask(fleet, "router-0", "nobody")
+def test_requests_are_refused_with_retry_after_if_all_endpoints_are_evacuated(fleet):
+    for data_centre in ("north", "south", "nowhere"):
+        evacuate(fleet, data_centre)
+        wait_evacuated(fleet, data_centre)
+    answer = send(fleet, "router-0", "nobody")
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
-    assert ran(fleet, "d-1", ["nobody"]) == ran(fleet, "d-2", ["nobody"]) == []
+    assert (
+        executed_ids(fleet, "d-1", ["nobody"])
+        == executed_ids(fleet, "d-2", ["nobody"])
+        == []
+    )
 
 
-def test_a_router_that_the_store_swallows_hears_of_it_from_its_peer(fleet):
+def test_a_router_without_store_answers_learns_of_evacuations_from_its_peer(fleet):
     control = fleet.proxies["store-of-router-1"].control
     faults = {"swallow_up": True, "swallow_down": True}
     ask_standin(control, "POST", "/faults", json.dumps(faults).encode())
     evacuate(fleet, "north")
     wait_evacuated(fleet, "north")
-    told = read_log(fleet, "router-1", event="data centre evacuated")
-    assert told["source"] == "router-0"
-    sent, statuses = ask_many(fleet, "told")
+    logged = read_log(fleet, "router-1", event="data centre evacuated")
+    assert logged["source"] == "router-0"
+    sent, statuses = send_many(fleet, "told")
     assert statuses == [200] * SENDS
-    assert ran(fleet, "d-1", sent) == []
+    assert executed_ids(fleet, "d-1", sent) == []
 
 
-def test_a_store_from_a_copy_does_not_take_an_evacuation_back(fleet):
+def test_a_store_restored_from_a_copy_does_not_end_an_evacuation(fleet):
     fleet.call_store("POST", "/copy")
     evacuate(fleet, "north")
     wait_evacuated(fleet, "north")
@@ -116,16 +122,16 @@
     fleet.configure(configuration(2))
     for router in ROUTERS:
         read_log(fleet, router, event="configuration in force", version=2)
-    sent, statuses = ask_many(fleet, "copied")
+    sent, statuses = send_many(fleet, "copied")
     assert statuses == [200] * SENDS
-    assert ran(fleet, "d-1", sent) == []
+    assert executed_ids(fleet, "d-1", sent) == []
 
 
-def test_a_router_that_starts_during_an_evacuation_obeys_it(fleet):
+def test_a_router_that_starts_during_an_evacuation_applies_it(fleet):
     evacuate(fleet, "north")
     wait_evacuated(fleet, "north")
     fleet.start_router("router-2")
     asyncio.run(fleet.wait_ready("router-2"))
     sent = [f"late-{number}" for number in range(SENDS)]
-    assert [ask(fleet, "router-2", item).status for item in sent] == [200] * SENDS
-    assert ran(fleet, "d-1", sent) == []
+    assert [send(fleet, "router-2", item).status for item in sent] == [200] * SENDS
+    assert executed_ids(fleet, "d-1", sent) == []
--- a/tests/integration/test_hosted.py
+++ b/tests/integration/test_hosted.py
@@ -1,4 +1,4 @@
-"""Routers that forward, as real processes among stand-ins of the users' platform."""
+"""Forwarding routers as real processes, with stand-ins for the users' platform."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 )
 from benchmarks.processes import Processes
 
-#: Seconds of the window of repeats: short, since a router has no part of the extra ones
-#: in its first window.
+#: Seconds of the retry window: short, because a router gets no share of the extra
+#: retries in its first window.
 RETRY_WINDOW = 0.1
 
 
@@ -50,15 +50,15 @@
         yield make_fleet(processes)
 
 
-def front(fleet, router="router-0"):
+def caller_port(fleet, router="router-0"):
     return fleet.ports[router][0]
 
 
-def ask(fleet, path, headers, method="POST", body=b"body", router="router-0"):
-    return asyncio.run(call(front(fleet, router), method, path, body, headers))
+def send(fleet, path, headers, method="POST", body=b"body", router="router-0"):
+    return asyncio.run(call(caller_port(fleet, router), method, path, body, headers))
 
 
-def ran(fleet, request):
+def executed(fleet, request):
     return [
         record
         for name in fleet.endpoints
@@ -67,29 +67,29 @@
     ]
 
 
-async def until(condition):
+async def wait_until(condition):
     while not condition():
         await asyncio.sleep(0.05)
 
 
-def test_a_plain_answer_comes_whole_and_unchanged(shared):
-    answer = ask(shared, "/once/order?a=b%20c", plain_headers("plain-1"))
+def test_a_plain_answer_is_forwarded_unchanged(shared):
+    answer = send(shared, "/once/order?a=b%20c", plain_headers("plain-1"))
     assert (answer.status, answer.complete) == (200, True)
     assert answer.body == b"answer to plain-1"
     assert answer.headers["server-signature"] == "stand-in"
     assert answer.headers["request-id"] == "plain-1"
-    record = ran(shared, "plain-1")[0]
+    record = executed(shared, "plain-1")[0]
     assert record["body"] == "body"
     assert record["path"] == "/once/order"
 
 
-def test_a_stream_comes_whole(shared):
-    answer = ask(shared, "/stream/x", model_headers("stream-1", events=5))
+def test_a_stream_is_forwarded_completely(shared):
+    answer = send(shared, "/stream/x", model_headers("stream-1", events=5))
     assert answer.complete
     assert answer.body.count(b"id: ") == 5
 
 
-def test_headers_that_are_the_systems_to_set_never_pass_from_a_caller(shared):
+def test_headers_that_the_router_sets_are_not_taken_from_callers(shared):
     headers = {
         **plain_headers("own-1"),
         "Tenant-Id": "somebody",
@@ -99,8 +99,8 @@
         "X-Hop": "1",
         "X-End": "2",
     }
-    assert ask(shared, "/once/x", headers).status == 200
-    seen = ran(shared, "own-1")[0]["headers"]
+    assert send(shared, "/once/x", headers).status == 200
+    seen = executed(shared, "own-1")[0]["headers"]
     assert seen["tenant-id"] == "alder"
     assert seen["target-instance"] in ("d-1", "d-2")
     assert "hold" not in seen
@@ -111,34 +111,34 @@
 
 
 def test_unknown_keys_and_routes_are_refused(shared):
-    assert ask(shared, "/once/x", plain_headers("k-1", "wrong")).status == 401
-    assert ask(shared, "/nowhere/x", plain_headers("k-2")).status == 404
-    assert ask(shared, "/open/x", {"Request-Id": "k-3"}).status == 200
-    assert ran(shared, "k-1") == ran(shared, "k-2") == []
+    assert send(shared, "/once/x", plain_headers("k-1", "wrong")).status == 401
+    assert send(shared, "/nowhere/x", plain_headers("k-2")).status == 404
+    assert send(shared, "/open/x", {"Request-Id": "k-3"}).status == 200
+    assert executed(shared, "k-1") == executed(shared, "k-2") == []
 
 
-def test_a_router_without_configuration_says_that_it_did_not_run(processes):
+def test_a_router_without_configuration_refuses_requests(processes):
     fleet = HostedFleet(processes)
     fleet.start_router("router-0")
 
     async def first_answer():
         while True:
             try:
-                return await call(front(fleet), "POST", "/once/x", b"", {})
+                return await call(caller_port(fleet), "POST", "/once/x", b"", {})
             except OSError:
                 await asyncio.sleep(0.02)
 
     assert asyncio.run(first_answer()).status == 503
 
 
-def test_a_broken_stream_goes_on_elsewhere_without_gap_or_repeat(fleet):
+def test_a_broken_stream_is_resumed_elsewhere_without_gap_or_repeat(fleet):
     for name in ("m-1", "m-2"):
         fleet.set_faults(name, break_after=3, within=True)
 
     async def run():
         headers = model_headers("broken-1", events=5)
         task = asyncio.create_task(
-            call(front(fleet), "POST", "/stream/x", b"b", headers)
+            call(caller_port(fleet), "POST", "/stream/x", b"b", headers)
         )
         return await task
 
@@ -146,75 +146,75 @@
     assert answer.complete
     numbers = [line for line in answer.body.split(b"\n") if line.startswith(b"id: ")]
     assert numbers == [b"id: %d" % number for number in range(1, 6)]
-    assert len(ran(fleet, "broken-1")) == 2
+    assert len(executed(fleet, "broken-1")) == 2
 
 
-def test_a_stream_that_may_run_once_is_cut_and_not_sent_again(fleet):
+def test_a_broken_stream_that_may_run_once_is_not_retried(fleet):
     for name in ("m-1", "m-2"):
         fleet.set_faults(name, break_after=2)
-    answer = ask(fleet, "/stream-once/x", model_headers("once-1", events=5))
+    answer = send(fleet, "/stream-once/x", model_headers("once-1", events=5))
     assert not answer.complete
-    assert len(ran(fleet, "once-1")) == 1
+    assert len(executed(fleet, "once-1")) == 1
 
 
-def test_a_lost_answer_is_never_called_not_run(fleet):
+def test_a_lost_answer_is_not_reported_as_not_run(fleet):
     for name in ("d-1", "d-2"):
         fleet.set_faults(name, lose=True)
-    answer = ask(fleet, "/once/x", plain_headers("lost-1"))
+    answer = send(fleet, "/once/x", plain_headers("lost-1"))
     assert answer.status == 502
-    assert len(ran(fleet, "lost-1")) == 1
+    assert len(executed(fleet, "lost-1")) == 1
 
 
-def test_what_may_be_repeated_is(fleet):
+def test_repeatable_requests_are_retried(fleet):
     fleet.set_faults("d-1", lose=True)
     for number in range(6):
-        answer = ask(fleet, "/again/x", plain_headers(f"again-{number}"))
+        answer = send(fleet, "/again/x", plain_headers(f"again-{number}"))
         assert answer.status == 200
 
 
-def test_a_request_that_was_declined_goes_elsewhere(fleet):
+def test_a_declined_request_is_retried_elsewhere(fleet):
     fleet.set_faults("d-1", decline=True)
     for number in range(4):
-        answer = ask(fleet, "/once/x", plain_headers(f"declined-{number}"))
+        answer = send(fleet, "/once/x", plain_headers(f"declined-{number}"))
         assert answer.status == 200
 
 
-def test_a_request_that_all_decline_is_refused_with_a_time(fleet):
+def test_a_request_that_all_decline_is_refused_with_retry_after(fleet):
     for name in ("d-1", "d-2"):
         fleet.set_faults(name, decline=True)
-    answer = ask(fleet, "/once/x", plain_headers("declined"))
+    answer = send(fleet, "/once/x", plain_headers("declined"))
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
-    assert ran(fleet, "declined") == []
+    assert executed(fleet, "declined") == []
 
 
-def test_an_answer_to_another_request_is_passed_over(fleet):
+def test_an_answer_to_another_request_is_discarded(fleet):
     for name in ("d-1", "d-2"):
         fleet.set_faults(name, foreign=True)
-    answer = ask(fleet, "/once/x", plain_headers("foreign-1"))
+    answer = send(fleet, "/once/x", plain_headers("foreign-1"))
     assert answer.body == b"answer to foreign-1"
 
 
-def test_work_ends_when_its_caller_leaves(fleet):
+def test_a_request_is_cancelled_when_its_caller_disconnects(fleet):
     for name in ("m-1", "m-2"):
         fleet.set_faults(name, pause=0.1)
 
-    async def leave():
-        reader, writer = await asyncio.open_connection("127.0.0.1", front(fleet))
-        lines = [f"{name}: {value}" for name, value in left.items()]
+    async def disconnect():
+        reader, writer = await asyncio.open_connection("127.0.0.1", caller_port(fleet))
+        lines = [f"{name}: {value}" for name, value in headers.items()]
         head = ["POST /stream/x HTTP/1.1", f"Host: {HOST}", *lines]
         writer.write("\r\n".join([*head, "Content-Length: 0", "", ""]).encode())
         await reader.readuntil(b"id: 1")
         writer.close()
-        await until(lambda: True)
+        await wait_until(lambda: True)
 
-    left = model_headers("left-1", events=200)
-    asyncio.run(leave())
+    headers = model_headers("left-1", events=200)
+    asyncio.run(disconnect())
 
     async def wait_end():
         loop = asyncio.get_running_loop()
         while True:
-            records = await loop.run_in_executor(None, ran, fleet, "left-1")
+            records = await loop.run_in_executor(None, executed, fleet, "left-1")
             if records and records[0]["end"] == "left":
                 return
             await asyncio.sleep(0.05)
@@ -228,10 +228,10 @@
 
     async def run():
         task = asyncio.create_task(
-            call(front(fleet), "POST", "/once/x", b"", plain_headers("stop-1"))
+            call(caller_port(fleet), "POST", "/once/x", b"", plain_headers("stop-1"))
         )
         loop = asyncio.get_running_loop()
-        while not await loop.run_in_executor(None, ran, fleet, "stop-1"):
+        while not await loop.run_in_executor(None, executed, fleet, "stop-1"):
             await asyncio.sleep(0.02)
         fleet.routers["router-0"].signal(signal.SIGTERM)
         return await task
@@ -242,94 +242,99 @@
     assert fleet.routers["router-0"].popen.wait(20) == 0
 
 
-def test_settings_with_a_fault_are_not_taken_and_stop_nothing(fleet):
+def test_invalid_settings_are_not_taken_and_the_router_keeps_serving(fleet):
     path = fleet.processes.folder / "router-0.json"
     good = path.read_text()
     path.write_text("{")
     fleet.routers["router-0"].signal(signal.SIGHUP)
-    assert ask(fleet, "/once/x", plain_headers("hup-1")).status == 200
+    assert send(fleet, "/once/x", plain_headers("hup-1")).status == 200
     path.write_text(good)
     fleet.routers["router-0"].signal(signal.SIGHUP)
-    assert ask(fleet, "/once/x", plain_headers("hup-2")).status == 200
+    assert send(fleet, "/once/x", plain_headers("hup-2")).status == 200
     fleet.processes.stop(fleet.routers["router-0"])
     lines = fleet.processes.output_of("router-0")
     assert lines.index("settings not taken") < lines.index("settings taken")
 
 
 def test_a_new_configuration_and_a_leaving_endpoint_take_effect(fleet):
-    config = configuration(5)
-    config["routes"] = [route for route in config["routes"] if route["name"] != "open"]
-    fleet.configure(config)
+    document = configuration(5)
+    document["routes"] = [
+        route for route in document["routes"] if route["name"] != "open"
+    ]
+    fleet.configure(document)
     fleet.register("d-1", state="draining")
 
     async def wait_applied():
         while True:
-            answer = await call(front(fleet), "GET", "/open/x", b"", {})
+            answer = await call(caller_port(fleet), "GET", "/open/x", b"", {})
             if answer.status == 404:
                 return
             await asyncio.sleep(0.05)
 
     asyncio.run(asyncio.wait_for(wait_applied(), 10))
 
-    async def only_other():
+    async def wait_drained():
         loop = asyncio.get_running_loop()
         number = served = 0
         while served < 5:
             number += 1
             headers = plain_headers(f"drain-{number}")
-            answer = await call(front(fleet), "POST", "/once/x", b"", headers)
+            answer = await call(caller_port(fleet), "POST", "/once/x", b"", headers)
             assert answer.status == 200
             records = await loop.run_in_executor(None, fleet.ran, "d-1")
-            at_leaving = any(item["id"] == f"drain-{number}" for item in records)
-            served = 0 if at_leaving else served + 1
+            at_draining = any(item["id"] == f"drain-{number}" for item in records)
+            served = 0 if at_draining else served + 1
 
-    asyncio.run(asyncio.wait_for(only_other(), 15))
+    asyncio.run(asyncio.wait_for(wait_drained(), 15))
 
 
-def test_a_peer_hands_on_what_the_store_does_not_tell(processes):
+def test_a_router_started_during_a_store_outage_becomes_ready_after_it(processes):
     fleet = make_fleet(processes, routers=2)
 
-    async def heard():
+    async def wait_for_peer():
         while True:
             answer = await call(fleet.ports["router-0"][2], "GET", "/metrics")
             if b"carawayfold_live_routers 2.0" in answer.body:
                 return
             await asyncio.sleep(0.05)
 
-    asyncio.run(asyncio.wait_for(heard(), 15))
+    asyncio.run(asyncio.wait_for(wait_for_peer(), 15))
     fleet.call_store("POST", "/faults", b'{"refuse": true}')
     fleet.start_router("router-2")
 
-    async def refused():
+    async def first_status():
         while True:
             try:
-                answer = await call(front(fleet, "router-2"), "GET", "/open/x", b"", {})
+                answer = await call(
+                    caller_port(fleet, "router-2"), "GET", "/open/x", b"", {}
+                )
             except OSError:
                 await asyncio.sleep(0.02)
                 continue
             return answer.status
 
-    # It can't know its peers either; once the store tells it of them, they hand on.
-    assert asyncio.run(refused()) == 503
+    # Without the store it does not know its peers either; once it has read their
+    # entries, they send it the configuration.
+    assert asyncio.run(first_status()) == 503
     fleet.call_store("POST", "/faults", b"{}")
     asyncio.run(asyncio.wait_for(fleet.wait_ready("router-2"), 15))
 
 
-def test_lost_history_is_read_anew(fleet):
+def test_topics_are_read_again_after_their_history_is_lost(fleet):
     fleet.call_store("POST", "/forget?topic=keyed.op")
     fleet.call_store("POST", "/forget?topic=keyed.servers")
     fleet.configure(configuration(9, tenants=[]))
 
-    async def applied():
+    async def wait_applied():
         while True:
             answer = await call(
-                front(fleet), "POST", "/once/x", b"", {"Request-Id": "f"}
+                caller_port(fleet), "POST", "/once/x", b"", {"Request-Id": "f"}
             )
             if answer.status == 200:
                 return
             await asyncio.sleep(0.05)
 
-    asyncio.run(asyncio.wait_for(applied(), 15))
+    asyncio.run(asyncio.wait_for(wait_applied(), 15))
 
 
 def head_of(*lines):
@@ -337,7 +342,7 @@
     return "\r\n".join(["POST /once/x HTTP/1.1", *fixed, *lines, "", ""]).encode()
 
 
-async def raw(port, data, pieces=1):
+async def send_raw(port, data, pieces=1):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     size = -(-len(data) // pieces)
     for start in range(0, len(data), size):
@@ -370,23 +375,25 @@
         b"\x16\x03\x01\x00\x01\r\n\r\n",
     ],
 )
-def test_a_request_that_could_be_read_in_two_ways_is_refused(shared, data):
-    answer = asyncio.run(asyncio.wait_for(raw(front(shared), data), 10))
+def test_malformed_and_ambiguous_requests_are_refused(shared, data):
+    answer = asyncio.run(asyncio.wait_for(send_raw(caller_port(shared), data), 10))
     assert 400 <= answer.status < 500
-    assert ran(shared, "raw") == []
+    assert executed(shared, "raw") == []
 
 
-def test_a_request_may_come_byte_by_byte(shared):
+def test_a_request_may_arrive_byte_by_byte(shared):
     fields = [f"{name}: {value}" for name, value in plain_headers("slow-1").items()]
     lines = ["POST /once/x HTTP/1.1", f"Host: {HOST}", *fields, "Content-Length: 3"]
     data = "\r\n".join([*lines, "", "abc"]).encode()
-    answer = asyncio.run(asyncio.wait_for(raw(front(shared), data, len(data)), 10))
+    answer = asyncio.run(
+        asyncio.wait_for(send_raw(caller_port(shared), data, len(data)), 10)
+    )
     assert answer.body == b"answer to slow-1"
 
 
 def test_pipelined_requests_are_answered_in_order(shared):
     async def run():
-        reader, writer = await asyncio.open_connection("127.0.0.1", front(shared))
+        reader, writer = await asyncio.open_connection("127.0.0.1", caller_port(shared))
         for name in ("pipe-1", "pipe-2", "pipe-3"):
             fields = [f"{key}: {value}" for key, value in plain_headers(name).items()]
             lines = ["POST /once/x HTTP/1.1", f"Host: {HOST}", *fields]
@@ -411,44 +418,44 @@
     lines = ["POST /once/x HTTP/1.1", f"Host: {HOST}", *fields]
     data = "\r\n".join([*lines, "Transfer-Encoding: chunked", "", ""]).encode()
     data += b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-    answer = asyncio.run(asyncio.wait_for(raw(front(shared), data), 10))
+    answer = asyncio.run(asyncio.wait_for(send_raw(caller_port(shared), data), 10))
     assert answer.status == 200
-    assert ran(shared, "chunk-1")[0]["body"] == "abcde"
+    assert executed(shared, "chunk-1")[0]["body"] == "abcde"
 
 
-def test_many_idle_connections_keep_no_new_caller_out(processes):
+def test_many_idle_connections_do_not_block_new_callers(processes):
     fleet = HostedFleet(processes)
     fleet.configure(configuration())
     fleet.start_endpoint("d-1", "desk")
     fleet.start_router("router-0", descriptors=256)
     asyncio.run(fleet.wait_ready("router-0"))
 
-    async def crowd():
-        port = front(fleet)
+    async def call_beside_idle():
+        port = caller_port(fleet)
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(400)]
         answer = await call(port, "POST", "/once/x", b"", plain_headers("crowd-1"))
         for _, writer in idle:
             writer.close()
         return answer
 
-    answer = asyncio.run(asyncio.wait_for(crowd(), 20))
+    answer = asyncio.run(asyncio.wait_for(call_beside_idle(), 20))
     assert answer.status == 200
     assert answer.headers["connection"] == "close"
 
 
-def test_a_router_that_stood_still_is_ready_again(fleet):
+def test_a_suspended_router_is_ready_after_it_resumes(fleet):
     process = fleet.routers["router-0"]
     process.signal(signal.SIGSTOP)
     process.signal(signal.SIGCONT)
     asyncio.run(asyncio.wait_for(fleet.wait_ready("router-0"), 20))
-    assert ask(fleet, "/once/x", plain_headers("still-1")).status == 200
+    assert send(fleet, "/once/x", plain_headers("still-1")).status == 200
 
 
 def register_again(fleet, name):
     fleet.register(name, born=2000)
 
 
-def test_what_runs_at_an_endpoint_that_started_again_is_answered_at_once(fleet):
+def test_requests_at_a_restarted_endpoint_are_answered_at_once(fleet):
     for name in ("d-1", "d-2"):
         fleet.register(name, born=1000)
         fleet.set_faults(name, silent=True)
@@ -457,9 +464,9 @@
         loop = asyncio.get_running_loop()
         headers = {**plain_headers("again-1"), "Request-Deadline": "30000"}
         task = asyncio.ensure_future(
-            call(front(fleet), "POST", "/once/x", b"body", headers)
+            call(caller_port(fleet), "POST", "/once/x", b"body", headers)
         )
-        while not await loop.run_in_executor(None, ran, fleet, "again-1"):
+        while not await loop.run_in_executor(None, executed, fleet, "again-1"):
             await asyncio.sleep(0.02)
         for name in ("d-1", "d-2"):
             await loop.run_in_executor(
@@ -468,12 +475,12 @@
         return await asyncio.wait_for(task, 15)
 
     answer = asyncio.run(run())
-    # It may have run, so neither a refusal that says it has not nor a repeat.
+    # The request may have run, so it is neither refused as not run nor retried.
     assert answer.status == 502
-    assert len(ran(fleet, "again-1")) == 1
+    assert len(executed(fleet, "again-1")) == 1
 
 
-def test_an_entry_of_another_writer_disturbs_no_endpoint(fleet):
+def test_entries_of_other_writers_do_not_affect_endpoints(fleet):
     for key, value in (
         ("x-1", {"service": "desk"}),
         ("x-2", ["no", "entry"]),
@@ -483,6 +490,6 @@
     fleet.register("d-1", state="resting")
     fleet.register("m-1", call_seq=2)
     for number in range(6):
-        answer = ask(fleet, "/once/x", plain_headers(f"writer-{number}"))
+        answer = send(fleet, "/once/x", plain_headers(f"writer-{number}"))
         assert answer.status == 200
-    assert ask(fleet, "/stream/x", model_headers("writer-s")).status == 200
+    assert send(fleet, "/stream/x", model_headers("writer-s")).status == 200
--- a/tests/integration/test_leaving_endpoints.py
+++ b/tests/integration/test_leaving_endpoints.py
@@ -1,13 +1,15 @@
-"""Endpoints that say that they leave, among real processes.
-
-An application endpoint that had said it was leaving got two more requests 3.08 s later,
-from two routers in the same millisecond; 3.0 s are allowed. One router decides for all,
-so it can't have known; the two that sent obeyed it and did not look at their own lists.
-Here the decider gets nothing of the store, and the other router has logged `endpoint
-registered`, `"leaving":true`: all of its next 12 requests went to that endpoint. Such a
-grant goes back now, and its line tells who was behind: `grant returned: endpoint is
-leaving`, `"known_for_ms":21.8`, `"offset":3`, `"decider":"router-1"`,
-`"decider_offset":2`.
+"""Endpoints that announce that they leave, against real processes.
+
+Guards against routers that follow a decision without checking it against their own
+records. An application endpoint received two more requests, from two routers in the
+same millisecond, 3.08 s after it had announced that it leaves; 3.0 s are allowed. One
+router decides for all, and its records were older than those of the two senders.
+
+These tests cut the decider off from the store while the other router has logged
+`endpoint registered` with `"leaving":true`. Without the check all of its next 12
+requests went to that endpoint. A router now returns such a grant and logs both offsets:
+`grant returned: endpoint is leaving`, `"known_for_ms":21.8`, `"offset":3`,
+`"decider":"router-1"`, `"decider_offset":2`.
 """
 
 from __future__ import annotations
@@ -28,7 +30,8 @@
 
 ROUTERS = ["router-0", "router-1"]
 ENDPOINTS = ["d-1", "d-2"]
-#: Requests that are sent after the word has come: each has one chance in two.
+#: Requests sent once it is known that an endpoint leaves; each would otherwise reach
+#: either endpoint with equal probability.
 SENDS = 12
 
 
@@ -45,36 +48,36 @@
     return fleet
 
 
-def ask(fleet, router, request):
+def send(fleet, router, request):
     headers = plain_headers(request)
     port = fleet.ports[router][0]
     return asyncio.run(call(port, "POST", "/once/x", b"body", headers))
 
 
-def swallow_store(fleet, router):
-    """Let nothing of the store come through to a router any more."""
+def cut_off_store(fleet, router):
+    """Drop everything between a router and the store."""
     control = fleet.proxies[f"store-of-{router}"].control
     faults = {"swallow_up": True, "swallow_down": True}
     ask_standin(control, "POST", "/faults", json.dumps(faults).encode())
 
 
-def ran(fleet, endpoint, requests):
+def executed_ids(fleet, endpoint, requests):
     return [x["id"] for x in fleet.ran(endpoint) if x["id"] in requests]
 
 
-def test_a_router_that_knows_better_than_the_decider_does_not_send(fleet):
-    assert ask(fleet, "router-0", "first").status == 200
+def test_a_router_with_newer_records_than_the_decider_does_not_send(fleet):
+    assert send(fleet, "router-0", "first").status == 200
     decider = read_log(fleet, "router-0", request="first")["decider"]
     sender = next(name for name in ROUTERS if name != decider)
-    swallow_store(fleet, decider)
+    cut_off_store(fleet, decider)
     fleet.register("d-1", state="draining")
     read_log(fleet, sender, event="endpoint registered", endpoint="d-1", leaving=True)
     late = [f"late-{number}" for number in range(SENDS)]
-    assert [ask(fleet, sender, request).status for request in late] == [200] * SENDS
-    assert ran(fleet, "d-1", late) == []
-    given_back = read_log(fleet, sender, event="grant returned: endpoint is leaving")
-    assert given_back["decider"] == decider
-    assert given_back["decider_offset"] < given_back["offset"]
+    assert [send(fleet, sender, request).status for request in late] == [200] * SENDS
+    assert executed_ids(fleet, "d-1", late) == []
+    returned = read_log(fleet, sender, event="grant returned: endpoint is leaving")
+    assert returned["decider"] == decider
+    assert returned["decider_offset"] < returned["offset"]
 
 
 def wait_in_force(fleet, version):
@@ -84,16 +87,17 @@
 
 
 def write_again(fleet, version):
-    """Write what operators and endpoints write again after the store came back."""
+    """Write what operators and endpoints write again after a restore of the store."""
     fleet.configure(configuration(version))
     fleet.register("d-1", state="draining")
     fleet.register("d-2")
 
 
-def test_a_store_that_comes_back_from_a_copy_brings_no_endpoint_back(fleet):
-    """Offsets were given out again, and who had read further was asked for more.
+def test_a_store_restored_from_a_copy_does_not_bring_an_endpoint_back(fleet):
+    """Offsets are reused after a restore, and some routers have read past them.
 
-    Twice: the copy holds the endpoint as staying, and an older configuration.
+    The store is restored twice, each time from a copy in which the endpoint does not
+    leave and the configuration is older.
     """
     for turn in range(2):
         fleet.register("d-1")
@@ -119,8 +123,8 @@
             read_log(fleet, router, event="store came back from a copy", era=turn + 1)
         late = [f"copied-{turn}-{number}" for number in range(SENDS)]
         for number, request in enumerate(late):
-            assert ask(fleet, ROUTERS[number % 2], request).status == 200
-        assert ran(fleet, "d-1", late) == []
+            assert send(fleet, ROUTERS[number % 2], request).status == 200
+        assert executed_ids(fleet, "d-1", late) == []
         write_again(fleet, 10 * turn + 6)
         for router in ROUTERS:
             read_log(
@@ -128,7 +132,7 @@
             )
 
 
-def test_routers_write_their_entries_again_into_a_store_from_a_copy(processes):
+def test_routers_write_their_entries_again_after_the_store_is_restored(processes):
     fleet = HostedFleet(processes)
     fleet.configure(configuration())
     fleet.start_endpoint("d-1", "desk")
@@ -138,10 +142,10 @@
     fleet.call_store("POST", "/restore")
     read_log(fleet, "router-0", event="store came back from a copy")
 
-    async def written():
+    async def wait_written():
         while b"router-0" not in fleet.call_store(
             "GET", "/log-newest?topic=keyed.routers&part=0"
         ):
             await asyncio.sleep(0.02)
 
-    asyncio.run(asyncio.wait_for(written(), 20))
+    asyncio.run(asyncio.wait_for(wait_written(), 20))
--- a/tests/integration/test_residency.py
+++ b/tests/integration/test_residency.py
@@ -1,4 +1,4 @@
-"""Requests run in the regions to which their route and organisation are kept."""
+"""Requests run only in the regions that their route and organisation allow."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 def fleet(processes):
     fleet = HostedFleet(processes)
     fleet.configure(configuration())
-    for name, place in ENDPOINTS.items():
+    for name, data_centre in ENDPOINTS.items():
         fleet.launch_endpoint(name, "desk")
-        fleet.register(name, zone=place)
+        fleet.register(name, zone=data_centre)
     fleet.start_router("router-0", regions=REGIONS)
     asyncio.run(fleet.wait_ready("router-0"))
     return fleet
 
 
-def keep(fleet, version, route=(), organisation=()):
-    """Keep the routes and the organisation to regions, and wait until that counts."""
-    config = configuration(version)
-    for item in config["routes"]:
+def restrict(fleet, version, route=(), organisation=()):
+    """Restrict routes and the organisation to regions; wait until this is in force."""
+    document = configuration(version)
+    for item in document["routes"]:
         item["allowed_regions"] = list(route)
-    for item in config["tenants"]:
+    for item in document["tenants"]:
         item["allowed_regions"] = list(organisation)
-    fleet.configure(config)
+    fleet.configure(document)
     read_log(fleet, "router-0", event="configuration in force", version=version)
 
 
-def ask(fleet, request):
+def send(fleet, request):
     headers = plain_headers(request)
     port = fleet.ports["router-0"][0]
     return asyncio.run(call(port, "POST", "/once/x", b"body", headers))
 
 
-def where(fleet, name):
+def send_many(fleet, name):
     """Send requests, and return their statuses and the endpoints that ran them."""
     sent = [f"{name}-{number}" for number in range(SENDS)]
-    statuses = {ask(fleet, item).status for item in sent}
+    statuses = {send(fleet, item).status for item in sent}
     ran = {
         endpoint
         for endpoint in ENDPOINTS
@@ -57,18 +57,18 @@
 
 
 @pytest.mark.parametrize(("region", "endpoint"), [("hills", "d-1"), ("coast", "d-2")])
-def test_a_route_is_kept_to_a_region(fleet, region, endpoint):
-    keep(fleet, 2, route=[region])
-    assert where(fleet, "route") == ({200}, {endpoint})
+def test_requests_of_a_restricted_route_run_in_its_region(fleet, region, endpoint):
+    restrict(fleet, 2, route=[region])
+    assert send_many(fleet, "route") == ({200}, {endpoint})
 
 
-def test_where_both_are_kept_both_bind(fleet):
-    keep(fleet, 2, route=["hills", "coast"], organisation=["coast"])
-    assert where(fleet, "both") == ({200}, {"d-2"})
+def test_restrictions_of_route_and_organisation_both_apply(fleet):
+    restrict(fleet, 2, route=["hills", "coast"], organisation=["coast"])
+    assert send_many(fleet, "both") == ({200}, {"d-2"})
 
 
-def test_what_may_run_nowhere_is_refused_and_has_not_run(fleet):
-    keep(fleet, 2, route=["hills"], organisation=["coast"])
-    answer = ask(fleet, "nowhere")
-    assert (answer.status, where(fleet, "none")[1]) == (503, set())
+def test_requests_without_an_allowed_region_are_refused_and_not_run(fleet):
+    restrict(fleet, 2, route=["hills"], organisation=["coast"])
+    answer = send(fleet, "nowhere")
+    assert (answer.status, send_many(fleet, "none")[1]) == (503, set())
     assert float(answer.headers["retry-after"]) > 0
--- a/tests/integration/test_routers.py
+++ b/tests/integration/test_routers.py
@@ -1,4 +1,4 @@
-"""Routers that stop, die, freeze, or start without the log."""
+"""Routers that stop, are killed or suspended, or start without the log."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tests.builders import SMALL
 
 
-def ask(port, tokens=30):
+def send_chat(port, tokens=30):
     return chat(port, key_of("alder"), "survey", tokens)
 
 
-async def ended(process):
+async def wait_exit(process):
     while process.popen.poll() is None:
         await asyncio.sleep(0.05)
     return process.popen.returncode
@@ -34,14 +34,14 @@
 def test_planned_stop_cuts_no_request(small_fleet):
     async def scenario():
         router = small_fleet.routers[0]
-        streams = [asyncio.create_task(ask(router.port, 100)) for _ in range(12)]
+        streams = [asyncio.create_task(send_chat(router.port, 100)) for _ in range(12)]
         await asyncio.sleep(0.3)
         router.process.signal(signal.SIGTERM)
-        # Until the signal is taken, the router rightly serves.
+        # The router serves until it has handled the signal.
         while (await send(router.port, "GET", "/readyz", {})).status == 200:
             await asyncio.sleep(0.01)
-        late = await ask(router.port)
-        return await asyncio.gather(*streams), late, await ended(router.process)
+        late = await send_chat(router.port)
+        return await asyncio.gather(*streams), late, await wait_exit(router.process)
 
     streams, late, code = asyncio.run(asyncio.wait_for(scenario(), 60))
     assert all(stream.is_whole_stream(100) for stream in streams)
@@ -52,11 +52,11 @@
 
 
 def test_rolling_restart_under_load_loses_nothing(small_fleet):
-    # The next router stops once the balancer has the one before it back, as an
-    # operator does it. When it stopped as soon as that one called itself ready, the
-    # balancer knew only the stopping one for up to a check's interval: six callers that
-    # come back without a pause were refused hundreds of times, and 66 of 358 answers
-    # were whole.
+    # Each router stops only once the balancer has put the previous one back into
+    # rotation, as operators do. If it stops as soon as the previous one reports ready,
+    # the balancer has only the stopping one for up to the interval of a health check:
+    # six callers that retry without a pause were refused hundreds of times, and 66 of
+    # 358 answers were complete.
     async def scenario():
         balancer = small_fleet.start_balancer()
         replies = []
@@ -64,12 +64,12 @@
 
         async def caller():
             while not stop.is_set():
-                replies.append(await ask(balancer.port))
+                replies.append(await send_chat(balancer.port))
 
         callers = [asyncio.create_task(caller()) for _ in range(6)]
         for router in small_fleet.routers:
             router.process.signal(signal.SIGTERM)
-            await ended(router.process)
+            await wait_exit(router.process)
             await small_fleet.restart_router(router)
             await small_fleet.wait_ready()
             await small_fleet.wait_in_rotation()
@@ -88,13 +88,13 @@
 @pytest.mark.parametrize(
     ("number", "tokens"), [(signal.SIGKILL, 3000), (signal.SIGSTOP, 1500)]
 )
-def test_slots_of_a_lost_router_come_back(small_fleet, number, tokens):
+def test_slots_of_a_lost_router_are_released(small_fleet, number, tokens):
     async def scenario():
         lost, other = small_fleet.routers
-        held = [asyncio.create_task(ask(lost.port, tokens)) for _ in range(16)]
+        held = [asyncio.create_task(send_chat(lost.port, tokens)) for _ in range(16)]
         await asyncio.sleep(0.5)
         lost.process.signal(number)
-        replies = await asyncio.gather(*(ask(other.port, 5) for _ in range(20)))
+        replies = await asyncio.gather(*(send_chat(other.port, 5) for _ in range(20)))
         for task in held:
             task.cancel()
         return replies
@@ -115,13 +115,13 @@
             await asyncio.sleep(0.1)
         frozen.process.signal(signal.SIGCONT)
         await small_fleet.wait_ready()
-        return await asyncio.gather(*(ask(frozen.port, 5) for _ in range(8)))
+        return await asyncio.gather(*(send_chat(frozen.port, 5) for _ in range(8)))
 
     replies = asyncio.run(asyncio.wait_for(scenario(), 60))
     assert all(reply.is_whole_stream(5) for reply in replies)
 
 
-def test_router_without_configuration_serves_nobody(processes):
+def test_router_without_configuration_refuses_requests(processes):
     async def scenario():
         fleet = Fleet(processes)
         fleet.start_platform()
@@ -133,7 +133,7 @@
             ready = await send(router.port, "GET", "/readyz", {})
         with pytest.raises(grpc.aio.AioRpcError) as caught:
             await administer(router.peer_port, "List", admin_pb2.ListRequest())
-        return ready, await ask(router.port), caught.value
+        return ready, await send_chat(router.port), caught.value
 
     ready, reply, error = asyncio.run(asyncio.wait_for(scenario(), 60))
     assert error.code() is grpc.StatusCode.UNAVAILABLE
@@ -142,7 +142,7 @@
     assert reply.json()["ran"] == "no"
 
 
-def test_configuration_is_handed_over_while_the_log_is_down(processes):
+def test_router_gets_its_configuration_from_peers_while_the_log_is_down(processes):
     async def scenario():
         fleet = Fleet(processes)
         await start_deployment(fleet, SMALL)
@@ -150,7 +150,7 @@
         router = await fleet.start_router("router-3", "north")
         while (await send(router.port, "GET", "/readyz", {})).status != 200:
             await asyncio.sleep(0.05)
-        return await ask(router.port, 5)
+        return await send_chat(router.port, 5)
 
     reply = asyncio.run(asyncio.wait_for(scenario(), 60))
     assert reply.is_whole_stream(5)
@@ -169,14 +169,18 @@
             await fleet.restart_router(router)
         await fleet.wait_ready()
         after = await fleet.status(fleet.routers[0])
-        return before.revision, after.revision, await ask(fleet.routers[1].port, 5)
+        return (
+            before.revision,
+            after.revision,
+            await send_chat(fleet.routers[1].port, 5),
+        )
 
     before, after, reply = asyncio.run(asyncio.wait_for(scenario(), 60))
     assert after >= before
     assert reply.is_whole_stream(5)
 
 
-def test_racing_operators_have_one_winner_that_every_router_knows(small_fleet):
+def test_one_of_several_concurrent_changes_is_accepted_at_every_router(small_fleet):
     async def scenario():
         created = await small_fleet.put(Organisation("cedar", 1.0))
         based_on = created.revision
@@ -216,7 +220,7 @@
         for item in items:
             await fleet.put(item)
         await fleet.wait_revision()
-        replies = [await ask(router.port, 3) for router in fleet.routers]
+        replies = [await send_chat(router.port, 3) for router in fleet.routers]
         ran = await get_json(fleet.endpoints["survey-1"].port, "/ran")
         peers = []
         while [len(met) for met in peers] != [2, 2, 2, 2]:
--- a/tests/integration/test_slow_start.py
+++ b/tests/integration/test_slow_start.py
@@ -1,7 +1,7 @@
-"""Endpoints that warm up get few requests a second, of all routers together.
+"""Limit on the requests a second, over all routers, to an endpoint that warms up.
 
-Among real processes, all of a service's endpoints that came back cold got 225 requests
-in a second where 12.5 were allowed.
+Guards against routers that ignore the limit: when all endpoints of a service restarted,
+they received 225 requests in a second where 12.5 were allowed.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 
 ROUTERS = ["router-0", "router-1"]
 ENDPOINTS = ["d-1", "d-2"]
-#: Requests a second that an endpoint tolerates while it warms up.
+#: Requests a second allowed to an endpoint while it warms up.
 RATE = 5.0
-#: Most that may reach it in any second.
-BOUND = RATE * 1.5 + 5
-#: Milliseconds that are left of its warm-up: longer than the test.
-LONG = 600_000
+#: Most requests that may reach such an endpoint in any second.
+MAX_PER_SECOND = RATE * 1.5 + 5
+#: Milliseconds left of its warm-up: longer than the test runs.
+WARM_UP_LEFT_MS = 600_000
 SENDS = 60
 
 
 def with_warm_up():
-    config = configuration()
-    for service in config["services"]:
+    document = configuration()
+    for service in document["services"]:
         service["cold_per_s"] = RATE
-    return config
+    return document
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
     fleet.configure(with_warm_up())
     for name in ENDPOINTS:
         fleet.start_endpoint(name, "desk")
-        fleet.register(name, cold_remaining_ms=LONG)
+        fleet.register(name, cold_remaining_ms=WARM_UP_LEFT_MS)
     for router in ROUTERS:
         fleet.start_router(router)
     for router in ROUTERS:
@@ -52,8 +52,8 @@
     )
 
 
-def ask_all(fleet, names):
-    """Send requests one after the other, and return their statuses."""
+def send_all(fleet, names):
+    """Send requests sequentially and return their statuses."""
 
     async def work():
         answers = [
@@ -71,18 +71,18 @@
     return asyncio.run(work())
 
 
-def test_endpoints_that_warm_up_are_not_flooded(fleet):
-    statuses = ask_all(fleet, [f"cold-{number}" for number in range(SENDS)])
+def test_endpoints_that_warm_up_get_no_more_than_the_limit(fleet):
+    statuses = send_all(fleet, [f"cold-{number}" for number in range(SENDS)])
     assert set(statuses) <= {200, 503}
     served = [len(fleet.ran(name)) for name in ENDPOINTS]
     assert sum(served) == statuses.count(200)
     for name in ENDPOINTS:
-        assert most_in_a_second(fleet, name) <= BOUND
+        assert most_in_a_second(fleet, name) <= MAX_PER_SECOND
 
 
-def test_what_is_warm_gets_the_rest(fleet):
+def test_a_warm_endpoint_gets_the_remaining_requests(fleet):
     fleet.start_endpoint("d-3", "desk")
-    statuses = ask_all(fleet, [f"mixed-{number}" for number in range(SENDS)])
+    statuses = send_all(fleet, [f"mixed-{number}" for number in range(SENDS)])
     assert statuses.count(200) >= SENDS - 2
     for name in ENDPOINTS:
-        assert most_in_a_second(fleet, name) <= BOUND
+        assert most_in_a_second(fleet, name) <= MAX_PER_SECOND
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds: faults at random, no broken promise."""
+"""Short soak tests with fixed seeds: random faults must not violate a guarantee."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from benchmarks.soak import forwarding, own
 
 
-def check(account):
+def check_account(account):
     assert account.violations == []
     assert account.whole > 0
     assert account.faults.total() > 0
@@ -17,9 +17,9 @@
 
 @pytest.mark.parametrize("seed", [11, 12])
 def test_no_promise_is_broken_under_mixed_faults(seed):
-    check(asyncio.run(own.soak(10.0, seed)))
+    check_account(asyncio.run(own.soak(10.0, seed)))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_promise_of_routers_that_forward_is_broken(seed):
-    check(asyncio.run(forwarding.soak(8.0, seed)))
+def test_forwarding_routers_violate_no_guarantee_under_mixed_faults(seed):
+    check_account(asyncio.run(forwarding.soak(8.0, seed)))
