--- a/tests/builders.py
+++ b/tests/builders.py
@@ -38,7 +38,7 @@
 
 
 def pool_spec(slots=2, endpoints=2):
-    """Return a pool of equal endpoints."""
+    """Return the specification of a pool of endpoints with equal slots."""
     names = [EndpointId(f"endpoint-{n}") for n in range(endpoints)]
     return PoolSpec(
         PoolId("north/survey/0"), "survey", "north", dict.fromkeys(names, slots)
@@ -53,7 +53,7 @@
 
 
 class Holder:
-    """A holder of requests as a granter sees it, by its reports."""
+    """A router that holds waiting requests and reports them to a granter."""
 
     def __init__(self, name, granter):
         self.name = RouterId(name)
@@ -90,13 +90,13 @@
 
 
 def organisation_change(name, based_on=0, share=1.0, change_id="", remove=False):
-    """Return a change of an organisation."""
-    identity = change_id or f"{name}-{based_on}-{share}-{random.getrandbits(32)}"
-    return Change(identity, based_on, Organisation(name, share), remove)
+    """Return a change that creates, updates or removes an organisation."""
+    change_id = change_id or f"{name}-{based_on}-{share}-{random.getrandbits(32)}"
+    return Change(change_id, based_on, Organisation(name, share), remove)
 
 
 class FakeLog:
-    """One stream of the log in memory, with faults."""
+    """An in-memory stream of the log service with injectable faults."""
 
     def __init__(self):
         self.records = []
@@ -109,7 +109,7 @@
         self.first = first
 
     async def append(self, data):
-        """Append as the real client does."""
+        """Append a record and return its offset, like the client of the log service."""
         if self.down:
             raise PlatformError("down")
         self.records.append(data)
@@ -118,7 +118,7 @@
         return len(self.records) - 1
 
     async def read(self, start, wait_ms=0):
-        """Read as the real client does, without waiting."""
+        """Read like the client of the log service, but never wait."""
         if self.down:
             raise PlatformError("down")
         start = max(start, self.first)
--- a/tests/log_readers.py
+++ b/tests/log_readers.py
@@ -1,16 +1,16 @@
-"""Reads the logs of routers that run as processes."""
+"""Functions that wait for lines in the logs of router processes."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 
-#: Seconds after which a line that does not come is given up.
-PATIENCE = 20.0
+#: Seconds to wait for a line.
+LINE_TIMEOUT = 20.0
 
 
-async def logged(fleet, router, count=1, **wanted):
-    """Wait for the line number `count` of a router's log with the fields `wanted`."""
+async def wait_for_line(fleet, router, count=1, **wanted):
+    """Wait for the `count`-th line of a router's log whose fields include `wanted`."""
     while True:
         found = []
         for line in fleet.processes.output_of(router).splitlines():
@@ -23,7 +23,7 @@
 
 
 def read_log(fleet, router, count=1, **wanted):
-    """Return a line of a router's log, see `logged`, or fail after a while."""
+    """Return a line of a router's log, see `wait_for_line`, or raise `TimeoutError`."""
     return asyncio.run(
-        asyncio.wait_for(logged(fleet, router, count, **wanted), PATIENCE)
+        asyncio.wait_for(wait_for_line(fleet, router, count, **wanted), LINE_TIMEOUT)
     )
--- a/tests/model_check.py
+++ b/tests/model_check.py
@@ -1,4 +1,4 @@
-"""Follows every order of a model's events, breadth first, once for each state."""
+"""Explicit-state model checking by breadth-first search over event sequences."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class Model(Protocol):
-    """What is checked: one state, reached by a series of events."""
+    """A model in one state, which results from a sequence of events."""
 
     def possible(self) -> list[Any]:
-        """Return the events that may happen now."""
+        """Return the events that are enabled in this state."""
 
     def play(self, event: Any) -> bool:
-        """Let an event happen; return whether something is wrong after it."""
+        """Apply an event and return whether the new state violates a property."""
 
     def key(self) -> Hashable:
-        """Return what tells this state from others."""
+        """Return a key that is equal only for equal states."""
 
 
 @dataclass
-class Checked:
-    """What a check has found.
+class CheckResult:
+    """Result of a check.
 
     Attributes
     ----------
     states : int
-        Different states that were reached.
+        Number of distinct states reached.
     counterexample : list of Enum or None
-        A shortest series of events after which something is wrong.
+        A shortest sequence of events that leads to a violation.
     """
 
     states: int
@@ -45,43 +45,43 @@
 def check(
     make: Callable[[], Model],
     depth: int,
-    wrong_at_rest: Callable[[Any], bool] = lambda model: False,
-) -> Checked:
-    """Follow every series of up to `depth` events.
+    violated_when_idle: Callable[[Any], bool] = lambda model: False,
+) -> CheckResult:
+    """Check every state that is reachable by at most `depth` events.
 
     Parameters
     ----------
     make : callable
-        Returns the first state; called in a loop.
-    wrong_at_rest : callable, optional
-        Returns whether something is wrong once nothing more happens; it may change the
-        model.
+        Returns a model in its initial state; called inside a running event loop.
+    violated_when_idle : callable, optional
+        Returns whether a property is violated once no further events occur; it may
+        change the model.
     """
     with logbook.NullHandler().applicationbound():
-        return asyncio.run(_check(make, depth, wrong_at_rest))
+        return asyncio.run(_check(make, depth, violated_when_idle))
 
 
-async def _check(make, depth, wrong_at_rest):
-    seen = {make().key()}
-    front = [[]]
+async def _check(make, depth, violated_when_idle):
+    visited = {make().key()}
+    frontier = [[]]
     for _ in range(depth):
-        reached = []
-        for path in front:
+        next_frontier = []
+        for path in frontier:
             for event in replay(make, path).possible():
                 model = replay(make, path)
-                wrong = model.play(event)
+                violated = model.play(event)
                 key = model.key()
-                if wrong or wrong_at_rest(model):
-                    return Checked(len(seen), [*path, event])
-                if key not in seen:
-                    seen.add(key)
-                    reached.append([*path, event])
-        front = reached
-    return Checked(len(seen))
+                if violated or violated_when_idle(model):
+                    return CheckResult(len(visited), [*path, event])
+                if key not in visited:
+                    visited.add(key)
+                    next_frontier.append([*path, event])
+        frontier = next_frontier
+    return CheckResult(len(visited))
 
 
 def replay(make, path):
-    """Return the model after a series of events."""
+    """Return a new model after a sequence of events."""
     model = make()
     for event in path:
         model.play(event)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,7 +1,8 @@
-"""Imports go one way, those for type checkers included.
+"""Direction of imports between subpackages, imports for type checkers included.
 
-Modules that name each other only for type checkers still can't be read one without the
-other. The circles listed are older than this test; the list may only get shorter.
+Modules that import each other only for type checkers can't be understood separately
+either. The import cycles listed here are older than this test; the list may only get
+shorter.
 """
 
 from __future__ import annotations
@@ -15,13 +16,12 @@
 import carawayfold
 
 ROOT = Path(carawayfold.__file__).parent
-#: Jobs of `carawayfold.coordination` in the order in which they may import: each one
-#: only what stands before it.
-JOBS = ("fleet", "knowledge", "containment", "scheduling", "slots", "requests")
-#: Folders that may import from `coordination`: none of them.
-BELOW = ("state", "protocol", "platform")
-#: Modules that still import each other.
-CIRCLES = {
+#: Subpackages of `carawayfold.coordination`; each may import only those before it.
+SUBPACKAGES = ("fleet", "knowledge", "containment", "scheduling", "slots", "requests")
+#: Packages that must not import from `coordination`.
+LOWER_LAYERS = ("state", "protocol", "platform")
+#: Import cycles that still exist.
+KNOWN_CYCLES = {
     frozenset({"fleet.fleet", "fleet.heartbeat_recipients", "fleet.hub_lists"}),
     frozenset({"requests.attempts", "requests.forwarding"}),
     frozenset({"slots.exchange", "slots.link_fleet"}),
@@ -30,7 +30,7 @@
 
 
 def modules():
-    """Return the source of each module of the package by its name."""
+    """Return the source of each module of the package by module name."""
     found = {}
     for path in ROOT.rglob("*.py"):
         parts = path.relative_to(ROOT.parent).with_suffix("").parts
@@ -39,7 +39,7 @@
 
 
 def imports():
-    """Return the modules that each module names."""
+    """Return the modules that each module imports."""
     known = modules()
     found = defaultdict(set)
     for name, source in known.items():
@@ -47,64 +47,67 @@
             if not isinstance(node, ast.ImportFrom) or not node.module:
                 continue
             for alias in node.names:
-                whole = f"{node.module}.{alias.name}"
-                target = whole if whole in known else node.module
+                full_name = f"{node.module}.{alias.name}"
+                target = full_name if full_name in known else node.module
                 if target in known and target != name:
                     found[name].add(target)
     return found
 
 
-def reached(graph, start):
-    """Return every module that `start` names, by way of others too."""
-    seen, left = set(), [start]
-    while left:
-        for target in graph.get(left.pop(), ()):
+def reachable_from(graph, start):
+    """Return every module that `start` imports, directly or indirectly."""
+    seen, pending = set(), [start]
+    while pending:
+        for target in graph.get(pending.pop(), ()):
             if target not in seen:
                 seen.add(target)
-                left.append(target)
+                pending.append(target)
     return seen
 
 
-def job_of(name):
+def subpackage_of(name):
     parts = name.split(".")
     inside = len(parts) > 3 and parts[1] == "coordination"
     return parts[2] if inside else None
 
 
-def test_each_job_imports_only_those_before_it():
-    wrong = [
+def test_each_subpackage_imports_only_those_before_it():
+    violations = [
         (name, target)
         for name, targets in imports().items()
         for target in targets
-        if job_of(name) and job_of(target)
-        if JOBS.index(job_of(target)) > JOBS.index(job_of(name))
+        if subpackage_of(name) and subpackage_of(target)
+        if SUBPACKAGES.index(subpackage_of(target))
+        > SUBPACKAGES.index(subpackage_of(name))
     ]
-    assert wrong == []
+    assert violations == []
 
 
-@pytest.mark.parametrize("folder", BELOW)
-def test_what_lies_below_does_not_import_coordination(folder):
-    wrong = [
+@pytest.mark.parametrize("folder", LOWER_LAYERS)
+def test_lower_layers_do_not_import_coordination(folder):
+    violations = [
         (name, target)
         for name, targets in imports().items()
         for target in targets
         if name.startswith(f"carawayfold.{folder}.")
         if target.startswith("carawayfold.coordination")
     ]
-    assert wrong == []
+    assert violations == []
 
 
-def test_no_new_circle():
+def test_no_new_import_cycle():
     graph = imports()
-    circles = set()
+    cycles = set()
     for name in graph:
         if not name.startswith("carawayfold.coordination."):
             continue
-        around = {
-            other for other in reached(graph, name) if name in reached(graph, other)
+        cycle = {
+            other
+            for other in reachable_from(graph, name)
+            if name in reachable_from(graph, other)
         }
-        inside = {other for other in around if job_of(other)}
+        inside = {other for other in cycle if subpackage_of(other)}
         if len(inside) > 1:
             prefix = "carawayfold.coordination."
-            circles.add(frozenset(item.removeprefix(prefix) for item in inside))
-    assert circles == CIRCLES
+            cycles.add(frozenset(item.removeprefix(prefix) for item in inside))
+    assert cycles == KNOWN_CYCLES
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines."""
+"""Format of log lines."""
 
 from __future__ import annotations
 
