--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in one process: a simulated clock and network, real heartbeats."""
+"""A fleet in one process, with real heartbeats on a simulated clock and network."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Seconds that a datagram takes.
+#: Seconds until a datagram is delivered.
 DELAY = 0.001
 #: Seconds within which all routers of a fleet start.
 START_SPREAD = 0.3
-#: Seconds from a router's start until it has read the entries.
+#: Seconds from a router's start until it has read the routers' entries.
 LISTING_DELAY = 0.02
-#: Hundredths of a usual core: one strong instance in so many, and the others.
-STRONG_EACH = 13
+#: Processor power in hundredths of a typical core: one instance in `STRONG_INTERVAL`
+#: has `STRONG`, the others have `WEAK`.
+STRONG_INTERVAL = 13
 STRONG = 215
 WEAK = 52
 
 
-class JumpingSelector(selectors.DefaultSelector):
-    """Waits by moving the clock."""
+class SimulatedSelector(selectors.DefaultSelector):
+    """Advances the simulated clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,14 +45,14 @@
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """A loop whose waits take no time."""
+    """An event loop on the simulated clock."""
 
     def __init__(self) -> None:
-        self.jumping = JumpingSelector()
-        super().__init__(self.jumping)
+        self.simulated_selector = SimulatedSelector()
+        super().__init__(self.simulated_selector)
 
     def time(self):
-        return self.jumping.now
+        return self.simulated_selector.now
 
 
 def simulate(work):
@@ -83,23 +84,23 @@
 
 @dataclass
 class SimulatedFleet:
-    """Routers, and what the network does to their datagrams.
+    """Routers and the network between them.
 
     Attributes
     ----------
     loss : float
-        Part of the datagrams that is lost.
+        Fraction of the datagrams that is lost.
     dead : set of str
-        Routers that neither send nor take anything.
+        Routers that neither send nor receive datagrams.
     apart : set of str
-        Data centres that only hear themselves.
+        Data centres that exchange no datagrams with others.
     sent, sent_bytes : Counter
-        Datagrams and their bytes by sender.
+        Number of datagrams, and of their bytes, by sender.
     attach : callable or None
-        Returns what else of a router takes datagrams and hears of changes, such as
-        its containment.
+        Returns a further component of a router that takes datagrams and is notified of
+        fleet changes, such as its containment.
     fill_beat : callable or None
-        Returns a router's heartbeat with what else it tells.
+        Returns a router's heartbeat with the fields of its component filled in.
     """
 
     seed: int = 1
@@ -128,8 +129,8 @@
         sender, receiver = socket.router, address.host
         self.sent[sender] += 1
         self.sent_bytes[sender] += len(data)
-        parted = {self.places[sender], self.places.get(receiver)} & self.apart
-        if parted and self.places[sender] != self.places.get(receiver):
+        separated = {self.places[sender], self.places.get(receiver)} & self.apart
+        if separated and self.places[sender] != self.places.get(receiver):
             return
         if sender in self.dead or self.draw.random() < self.loss:
             return
@@ -146,7 +147,7 @@
             self.attached[receiver].take(datagram)
 
     def start(self, name, place, processor, after=0.0):
-        """Start a router that reads the entries a little later."""
+        """Start a router, which reads the entries after `LISTING_DELAY`."""
         self.places[name] = place
         self.tasks[name] = self.loop.create_task(self.run(name, processor, after))
 
@@ -157,28 +158,30 @@
         own = Member(name, place, incarnation, self.loop.time(), processor=processor)
         socket = SimulatedSocket(self, name, incarnation, Address(name, 1))
 
-        def beat():
+        def make_heartbeat():
             stopping = own.state is PeerState.STOPPING
-            plain = Heartbeat(place, stopping, 1, 1, 0, processor)
-            return self.fill_beat(name, plain) if name in self.attached else plain
+            heartbeat = Heartbeat(place, stopping, 1, 1, 0, processor)
+            return (
+                self.fill_beat(name, heartbeat) if name in self.attached else heartbeat
+            )
 
-        def changed():
+        def on_change():
             self.changes[name] += 1
             if name in self.attached:
                 self.attached[name].fleet_changed()
 
-        fleet = self.routers[name] = Fleet(socket, own, beat, changed)
+        fleet = self.routers[name] = Fleet(socket, own, make_heartbeat, on_change)
         if self.attach is not None:
-            made = self.attached[name] = self.attach(name, fleet)
-            self.looks[name] = self.loop.create_task(made.run_periodically())
+            component = self.attached[name] = self.attach(name, fleet)
+            self.looks[name] = self.loop.create_task(component.run_periodically())
         self.entries[name] = PeerEntry(name, place, name, 1, processor)
-        beating = self.loop.create_task(fleet.send_heartbeats())
+        heartbeat_task = self.loop.create_task(fleet.send_heartbeats())
         await asyncio.sleep(LISTING_DELAY)
         fleet.add_entries(list(self.entries.values()))
-        await beating
+        await heartbeat_task
 
     def kill(self, *names):
-        """End routers without a word."""
+        """Stop routers without notice to their peers."""
         for name in names:
             self.dead.add(name)
             self.tasks.pop(name).cancel()
@@ -188,7 +191,7 @@
                 self.looks.pop(name).cancel()
 
     def leaders(self, subject, place=None):
-        """Return who leads on a subject, by those that think so."""
+        """Count the routers that take each router for the leader of a subject."""
         return Counter(
             fleet.leader(subject)
             for name, fleet in self.routers.items()
@@ -206,7 +209,7 @@
         }
 
     async def until(self, condition, most):
-        """Return the seconds until `condition` holds, or None after `most`."""
+        """Return the seconds until `condition` holds, or None after `most` seconds."""
         begun = self.loop.time()
         while self.loop.time() - begun < most:
             if condition():
@@ -222,10 +225,10 @@
 
 
 def started(count, places, seed=1, loss=0.0):
-    """Return a fleet of `count` routers that start at about the same moment."""
+    """Return a fleet of `count` routers that start within `START_SPREAD` seconds."""
     fleet = SimulatedFleet(seed=seed, loss=loss)
     for number in range(count):
-        processor = STRONG if (number // places) % STRONG_EACH == 0 else WEAK
+        processor = STRONG if (number // places) % STRONG_INTERVAL == 0 else WEAK
         after = fleet.draw.uniform(0, START_SPREAD)
         fleet.start(f"r-{number}", f"dc-{number % places}", processor, after)
     return fleet
--- a/tests/simulated_store.py
+++ b/tests/simulated_store.py
@@ -1,4 +1,4 @@
-"""A simulated store: what it keeps, and how it treats the routers that call it."""
+"""A simulated store, with faults for each router that calls it."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from carawayfold.state.positions import era_of, offset_of, position
 from carawayfold.state.routes import CallerLimits, RouteTable
 
-#: Seconds for an answer of the store.
+#: Seconds until the store answers.
 STORE_DELAY = 0.004
 #: The same while the store is slow.
 SLOW_DELAY = 0.2
 
 
 class Access(Enum):
-    """How the store treats a router."""
+    """How the store responds to a router."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -36,19 +36,20 @@
 
 @dataclass
 class SimulatedStore:
-    """One topic of registrations and one of the configuration.
+    """A store with a topic of registrations and a topic of operators' records.
 
     Attributes
     ----------
     access : dict
-        How it treats each router.
+        How the store responds to each router.
     operators_access : dict
-        The same for calls of the operators' topic alone, where that differs.
+        The same for calls to the operators' topic, if it differs.
     silenced : dict
-        Loop time at which all connections of a router fell silent that were open then.
+        Loop time from which the connections of a router that were open then get no
+        more answers.
     idle : dict
-        Loop times at which each router's idle connections were opened, as its client
-        takes them: the newest first.
+        Loop times at which each router's idle connections were opened; its client
+        takes the last of the list first.
     """
 
     access: dict[str, Access] = field(default_factory=dict)
@@ -63,31 +64,31 @@
 
     def write(self, item):
         self.records.append(item)
-        self._tell()
+        self._notify_readers()
 
     def configure(self, version):
         table = RouteTable(version, (), {}, {}, {}, CallerLimits(), 0.0)
         self.tables.append(table)
-        self._tell()
+        self._notify_readers()
 
     def evacuate(self, data_centre):
         self.tables.append(Evacuation(data_centre, True))
-        self._tell()
+        self._notify_readers()
 
     def newest_words(self):
-        """Return the last configuration and the last word on each data centre."""
+        """Return the last configuration and the last evacuation of each data centre."""
         last = {getattr(item, "data_centre", None): item for item in self.tables}
         return list(last.values())
 
-    def _tell(self):
+    def _notify_readers(self):
         self.changed.set()
         self.changed = asyncio.Event()
 
     def come_back(self, lost):
-        """Come back from a copy that lacks the last `lost` registrations."""
+        """Restore the store from a copy that lacks the last `lost` registrations."""
         del self.records[-lost:]
         self.era += 1
-        self._tell()
+        self._notify_readers()
 
     def place(self, records):
         """Return the position after all records."""
@@ -98,18 +99,18 @@
         return [item for item in by_name.values() if item.endpoint is not None]
 
     def access_of(self, router, records):
-        """Return how a router's calls of a topic are treated."""
+        """Return how the store responds to a router's calls to a topic."""
         access = self.access.get(router, Access.SERVED)
         if records is self.tables:
             return self.operators_access.get(router, access)
         return access
 
-    async def admit(self, router, records, patience):
-        """Let a call of a router in, or fail as the store does with it."""
+    async def admit(self, router, records, timeout):
+        """Delay a call of a router as the store does, or fail it."""
         self.calls[router] += 1
         access = self.access_of(router, records)
         if access is Access.SWALLOWED:
-            await asyncio.sleep(patience)
+            await asyncio.sleep(timeout)
             raise SourceTimeout("no answer in time")
         await asyncio.sleep(SLOW_DELAY if access is Access.SLOW else STORE_DELAY)
         if access is Access.REFUSED:
@@ -118,7 +119,7 @@
 
 @dataclass
 class SimulatedSource:
-    """One router's way to a topic of the store."""
+    """One router's access to a topic of the store."""
 
     store: SimulatedStore
     router: str
@@ -136,11 +137,11 @@
         return Page(self.newest_of(), self.store.place(self.records))
 
     async def read(self, start, wait):
-        patience = wait + platform_store.READ_TIMEOUT_MARGIN
-        return await self._on_connection(self._read(start, wait, patience), patience)
+        timeout = wait + platform_store.READ_TIMEOUT_MARGIN
+        return await self._on_connection(self._read(start, wait, timeout), timeout)
 
-    async def _on_connection(self, work, patience):
-        """Return an answer unless the connection falls silent before it."""
+    async def _on_connection(self, work, timeout):
+        """Return the answer, or time out if the connection gets none."""
         loop = asyncio.get_running_loop()
         idle = self.store.idle.setdefault(self.router, [])
         opened = idle.pop() if idle else loop.time()
@@ -149,28 +150,28 @@
             try:
                 answer = await work
             except SourceTimeout:
-                self._lose()
+                self._drop_idle()
                 raise
             if opened > self._silenced():
                 idle.append(opened)
                 return answer
         else:
             work.close()
-        await asyncio.sleep(begun + patience - loop.time())
-        self._lose()
+        await asyncio.sleep(begun + timeout - loop.time())
+        self._drop_idle()
         raise SourceTimeout("no answer in time")
 
     def _silenced(self):
         return self.store.silenced.get(self.router, float("-inf"))
 
-    def _lose(self):
-        """Drop the idle connections, as the client does after one fell silent."""
+    def _drop_idle(self):
+        """Drop the idle connections, as the client does after a time-out."""
         self.store.idle[self.router].clear()
 
-    async def _read(self, start, wait, patience):
+    async def _read(self, start, wait, timeout):
         loop = asyncio.get_running_loop()
-        end = loop.time() + patience
-        await self.store.admit(self.router, self.records, patience)
+        end = loop.time() + timeout
+        await self.store.admit(self.router, self.records, timeout)
         until = loop.time() + wait
         while start == self.store.place(self.records) and loop.time() < until:
             changed = self.store.changed
@@ -181,14 +182,14 @@
                 break
             if self._access() is not Access.SERVED:
                 break
-        await self._stay_cut(end)
+        await self._fail_if_cut_off(end)
         if era_of(start) != self.store.era or offset_of(start) > len(self.records):
             raise RecordsNotRetained("the store came back from a copy")
         read = self.records[offset_of(start) :]
         return Page(read, self.store.place(self.records))
 
-    async def _stay_cut(self, end):
-        """Fail a read that waited when its router was cut off."""
+    async def _fail_if_cut_off(self, end):
+        """Fail a waiting read if its router has lost access meanwhile."""
         access = self._access()
         if access is Access.SWALLOWED:
             await asyncio.sleep(end - asyncio.get_running_loop().time())
--- a/tests/simulated_troubles.py
+++ b/tests/simulated_troubles.py
@@ -1,4 +1,4 @@
-"""What may be wrong in a simulated fleet when an endpoint says that it leaves."""
+"""Faults in a simulated fleet at the time an endpoint announces that it leaves."""
 
 from __future__ import annotations
 
@@ -7,41 +7,44 @@
 
 from tests.simulated_store import Access
 
-#: Endpoints that are registered; the last ones leave before a store is copied.
+#: Number of registered endpoints; the last ones leave before the store is restored
+#: from a copy.
 ENDPOINTS = 6
-#: Seconds between stops of routers one after the other.
+#: Seconds between the stops of routers that stop in turn.
 ROLLING_INTERVAL = 0.5
 
 
 @dataclass(frozen=True)
 class Trouble:
-    """What is wrong when an endpoint leaves.
+    """Faults that are present when an endpoint leaves.
 
     Attributes
     ----------
     refused, swallowed, slow : float
-        Part of the routers that the store refuses, does not answer, answers late.
+        Fractions of the routers that the store refuses, does not answer, or answers
+        late.
     readers, hubs : Access or None
-        How it treats all those that read for others, and all hubs.
+        How the store responds to the first reader of each data centre, and to all
+        hubs; a reader reads the store for other routers.
     dead : int
-        Routers of each data centre that stop, those that read for others first.
+        Number of routers of each data centre that stop, readers first.
     dead_hubs : bool
         Whether all hubs stop.
     rolling : int
-        Routers of each data centre that stop one after the other, each time one that
-        reads for the others then.
+        Number of routers of each data centre that stop in turn, each one a reader at
+        the time.
     apart : int
-        Data centres that are cut off.
+        Number of data centres that are cut off from the others.
     loss : float
-        Part of the datagrams that is lost.
+        Fraction of the datagrams that is lost.
     copied : int
-        Registrations that are lost with a return of the store from a copy.
+        Number of registrations lost when the store is restored from a copy.
     storm : bool
-        Whether configurations come in quick succession.
+        Whether configurations are written in quick succession.
     places : int or None
-        Data centres whose readers are hit; all for None.
+        Number of data centres whose routers are affected; None for all.
     before : float
-        Seconds from the trouble to the word.
+        Seconds from the start of the faults to the announcement.
     """
 
     refused: float = 0.0
@@ -86,7 +89,8 @@
         rolling=4, swallowed=0.3, before=1.0
     ),
 }
-#: Troubles of all hubs of a large fleet just as the word comes; leaves stay in touch.
+#: Faults of all hubs of a large fleet at the moment of the announcement; its leaf
+#: routers are not affected.
 HUB_TROUBLES = {
     "hubs refused": Trouble(hubs=Access.REFUSED, before=0.0),
     "hubs swallowed": Trouble(hubs=Access.SWALLOWED, before=0.0),
@@ -95,23 +99,23 @@
 
 
 def readers_first(world, place):
-    """Return the routers of a data centre, those that read the store most first."""
+    """Return the routers of a data centre, by descending number of store calls."""
     names = [name for name in world.fleet.routers if world.fleet.places[name] == place]
     return sorted(names, key=lambda name: -world.store.calls[name])
 
 
 async def strike(world, trouble, places):
-    """Bring a trouble about."""
+    """Apply the faults of `trouble` to the simulated fleet and store."""
     fleet, draw = world.fleet, world.draw
     fleet.loss = trouble.loss
     names = list(fleet.routers)
-    treated = {
+    fractions = {
         Access.REFUSED: trouble.refused,
         Access.SWALLOWED: trouble.swallowed,
         Access.SLOW: trouble.slow,
     }
-    for access, part in treated.items():
-        for name in draw.sample(names, round(part * len(names))):
+    for access, fraction in fractions.items():
+        for name in draw.sample(names, round(fraction * len(names))):
             world.store.access[name] = access
     for number in range(places if trouble.places is None else trouble.places):
         first = readers_first(world, f"dc-{number}")
@@ -130,29 +134,29 @@
         await asyncio.sleep(1.0)
         world.store.come_back(trouble.copied)
     if trouble.rolling:
-        stopping = stop_in_turn(world, trouble.rolling, places)
+        stopping = stop_readers_in_turn(world, trouble.rolling, places)
         fleet.tasks["rolling"] = world.loop.create_task(stopping)
     if trouble.storm:
-        world.storm = world.loop.create_task(keep_configuring(world))
+        world.storm = world.loop.create_task(write_configurations(world))
 
 
-async def stop_in_turn(world, times, places):
-    """Stop a router that reads in each data centre, again and again."""
+async def stop_readers_in_turn(world, times, places):
+    """Stop one reader in each data centre, `times` times."""
     fleet = world.fleet
     for _ in range(times):
         for number in range(places):
-            reading = [
+            readers = [
                 name
                 for name in fleet.routers
                 if name not in fleet.dead
                 and fleet.places[name] == f"dc-{number}"
                 and world.routers[name].anti_entropy.reading.is_set()
             ]
-            fleet.dead |= set(reading[:1])
+            fleet.dead |= set(readers[:1])
         await asyncio.sleep(ROLLING_INTERVAL)
 
 
-async def keep_configuring(world):
+async def write_configurations(world):
     version = 2
     while True:
         world.store.configure(version)
