--- a/tests/transport/test_edge.py
+++ b/tests/transport/test_edge.py
@@ -15,7 +15,7 @@
 )
 
 
-def exchange(data, refuses=True, answers=1):
+def exchange(data, should_reject=True, answers=1):
     """Send bytes to an edge; return the output, served requests and rejected ids."""
 
     async def run():
@@ -28,7 +28,7 @@
         root = Root()
         address = Address("127.0.0.1", 0)
         edge = Edge(address, serve, id_header="request-id").register(root)
-        edge.refuses = lambda: refuses
+        edge.should_reject = lambda: should_reject
         edge.on_rejected = shed.append
         root.attach()
         port = edge.server.port
@@ -94,7 +94,7 @@
 
 
 def test_no_request_is_rejected_without_overload():
-    got, served, shed = exchange([PLAIN], refuses=False)
+    got, served, shed = exchange([PLAIN], should_reject=False)
     assert served == [(b"/a", b"body")]
     assert shed == []
     assert b"HTTP/1.1 200 " in got
